--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -1,7 +1,8 @@
-"""The node core: every part of one node, wired together, without sockets, clock or disk.
+"""Sans-I/O core of a node: connects its components and holds no sockets, clock or disk.
 
-The daemon and the simulator drive this same class. Parts return effects; those that concern
-another part of the node are carried out here (`_settle`), the rest is the driver's.
+Both the daemon and the simulator drive this class. Components return effects. Effects addressed
+to another component of the same node are executed here (`_process_effects`); all others are
+returned to the driver.
 """
 
 from __future__ import annotations
@@ -63,35 +64,35 @@
 )
 from stileloom.samplers.table import SamplerTable
 
-CONTROLLER_TICK_S = 0.1
+CONTROLLER_TICK_INTERVAL_S = 0.1
 
 
 class DeliveryFinished(msgspec.Struct, frozen=True):
-    """The answer to `read_deliveries`."""
+    """Response to `read_deliveries`."""
 
     answer: DeliveryAnswer
 
 
 class StatusFinished(msgspec.Struct, frozen=True):
-    """The answer to `ask_status`."""
+    """Response to `ask_status`."""
 
     status: LeaderStatus
 
 
 class _CommitTicket(msgspec.Struct, frozen=True):
-    """Ties a command's answer to a generation of this node's owner part."""
+    """Associates a command result with a generation of this node's sampler owner."""
 
     key: GenerationKey
 
 
 class _ClaimTicket(msgspec.Struct, frozen=True):
-    """Ties a command's answer to a lookup of this node's gateway."""
+    """Associates a command result with a lookup of this node's gateway."""
 
     request_id: str
 
 
 class _ForwardTicket(msgspec.Struct, frozen=True):
-    """Ties an applied command to the node that forwarded it."""
+    """Associates an applied command with the node that forwarded it."""
 
     sender: str
     ticket: int
@@ -101,7 +102,10 @@
 
 
 class NodeCore:
-    """One node. Times are monotonic seconds unless they are called wall time."""
+    """State and behaviour of one node.
+
+    Times are in monotonic seconds unless named wall time.
+    """
 
     def __init__(
         self,
@@ -113,13 +117,13 @@
         scheduler: SchedulerKind = SchedulerKind.DEFAULT,
         without: frozenset[Mechanism] = frozenset(),
     ) -> None:
-        """`without` leaves parts of the default scheduler out, for benches."""
+        """`without` disables mechanisms of the default scheduler, for benchmarks."""
         self.node_id = me.node_id
         self.zone = me.zone
         self.membership = Membership(me, seeds, rng)
         self.configuration = ConfigurationNode(me.node_id, me.zone)
         self.replica = replica
-        self.tracker = LeaderTracker(self._voter_names)
+        self.tracker = LeaderTracker(self._voter_ids)
         self.client = LedgerClient(self.tracker, first_ticket=rng.randrange(1 << 40))
         self.gateway = Gateway(me.node_id, me.zone, rng, now)
         self.owner = SamplerOwner(me.node_id)
@@ -132,59 +136,59 @@
         self.wall_time_s = 0.0
         self._scheduler_kind = scheduler
         self._without = without
-        # Outlives a controller: a lease may lapse and be renewed within one epoch.
-        self._sequence = itertools.count(1)
+        # Shared by successive controllers: a leader lease can expire and be renewed in one epoch.
+        self._controller_sequence = itertools.count(1)
         self._internal_tickets: dict[int, _CommitTicket | _ClaimTicket | None] = {}
         self._next_controller_tick_at = now
         self._handlers: dict[type, _Handler] = {}
         self._register_handlers()
 
-    # What others may read.
+    # Queries.
 
     def leader(self, now: float) -> str | None:
-        """The ledger's leader as far as this node knows."""
+        """Returns the ledger leader known to this node, or None."""
         if self.replica is not None and self.replica.leader is not None:
             return self.replica.leader
         return self.tracker.leader(now)
 
     @property
     def revision(self) -> int:
-        """The configuration revision in use here, 0 for none."""
+        """Configuration revision held by this node, or 0 if none."""
         return self.configuration.store.revision
 
     @property
     def ready(self) -> bool:
-        """Whether this node may serve callers."""
+        """Whether this node accepts client requests."""
         return self.configuration.store.configuration is not None and not self.draining
 
-    def _is_working(self, node_id: str) -> bool:
+    def _is_healthy(self, node_id: str) -> bool:
         member = self.membership.get(node_id)
         return member is not None and member.state is MemberState.ALIVE
 
-    def _voter_names(self) -> list[str]:
+    def _voter_ids(self) -> list[str]:
         return [member.node_id for member in self.membership.alive() if member.voter]
 
-    # Driving.
+    # Timers and incoming messages.
 
     def tick(self, now: float, wall_time_s: float) -> list[Effect]:
-        """Runs the timers of every part."""
+        """Runs the timers of all components."""
         self.wall_time_s = wall_time_s
         leader = self.leader(now)
-        effects = self._tell_failed_rules()
+        effects = self._emit_rule_failures()
         effects += self.membership.tick(now)
         effects += self.client.tick(now)
         effects += self._tick_replica(now)
-        asked = leader if leader is not None else self.tracker.ask(now)
-        effects += self.configuration.tick(now, self.ownership.readers(), asked)
+        contact = leader if leader is not None else self.tracker.ask(now)
+        effects += self.configuration.tick(now, self.ownership.readers(), contact)
         self._tick_ownership(now)
         effects += self.owner.tick(now, leader, self.ownership.gateways_by_sampler)
         effects += self.gateway.tick(now, self._gateway_view(now))
         effects += self._tick_controller(now)
-        return self._settle(now, effects)
+        return self._process_effects(now, effects)
 
     def receive(self, now: float, sender: str, message: object) -> list[Effect]:
-        """Takes one message from another node."""
-        return self._settle(now, self._handle(now, sender, message))
+        """Handles a message from another node."""
+        return self._process_effects(now, self._handle(now, sender, message))
 
     def _handle(self, now: float, sender: str, message: object) -> list[Effect]:
         handler = self._handlers.get(type(message))
@@ -212,7 +216,7 @@
         self._handlers[LeaderStatus] = lambda now, sender, message: [StatusFinished(message)]
         self._handlers[DrainSampler] = self._on_drain_sampler
 
-    # Messages.
+    # Message handlers.
 
     def _on_configuration_message(self, now: float, sender: str, message: object) -> list[Effect]:
         if isinstance(message, GrantReply):
@@ -250,11 +254,11 @@
     def _on_grant_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, GrantRequest)
         if self.authority is None or not self._may_act(now) or self.replica is None:
-            return [Send(sender, self._hint(now))]
+            return [Send(sender, self._leader_hint(now))]
         floor = self.replica.state.configuration_floor
         return self.authority.on_request(now, sender, message, floor)
 
-    def _hint(self, now: float) -> LeaderHint:
+    def _leader_hint(self, now: float) -> LeaderHint:
         leader = self.leader(now)
         epoch = self.replica.epoch if self.replica is not None else 0
         return LeaderHint(leader if leader is not None and leader != self.node_id else "", epoch)
@@ -262,7 +266,9 @@
     def _on_command_forward(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, CommandForward)
         if self.replica is None or not self._may_act(now):
-            return [Send(sender, CommandAnswer(message.ticket, None, self._hint(now).leader))]
+            return [
+                Send(sender, CommandAnswer(message.ticket, None, self._leader_hint(now).leader))
+            ]
         ticket = _ForwardTicket(sender, message.ticket)
         return self.replica.propose(now, message.command, ticket)
 
@@ -279,7 +285,7 @@
     def _on_status_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, StatusRequest)
         if self.controller is None or self.replica is None or self.authority is None:
-            return [Send(sender, self._hint(now))]
+            return [Send(sender, self._leader_hint(now))]
         status = leader_status(
             now,
             message.ticket,
@@ -295,7 +301,7 @@
         assert isinstance(message, DrainSampler)
         return self.table.mark_leaving(message.sampler_id)
 
-    # Timers of single parts.
+    # Component timers.
 
     def _may_act(self, now: float) -> bool:
         return self.replica is not None and self.replica.may_act(now)
@@ -325,7 +331,7 @@
         view = self._controller_view(now)
         if self.controller is None or view is None or now < self._next_controller_tick_at:
             return effects
-        self._next_controller_tick_at = now + CONTROLLER_TICK_S
+        self._next_controller_tick_at = now + CONTROLLER_TICK_INTERVAL_S
         return effects + self.controller.tick(now, view)
 
     def _start_controller(self, now: float) -> list[Effect]:
@@ -334,16 +340,16 @@
         if self.controller is not None and self.controller.epoch == epoch:
             return []
         scheduler = make_scheduler(self._scheduler_kind, self._without)
-        self.controller = Controller(epoch, scheduler, now, self._sequence)
+        self.controller = Controller(epoch, scheduler, now, self._controller_sequence)
         self.authority = ConfigurationAuthority(epoch, now)
-        # Owners report what they run to a leader that is new to them: tell them at once.
+        # Announces the new leader: owners then report their running generations to it.
         hint = LeaderHint(self.node_id, epoch)
         others = [m.node_id for m in self.membership.alive() if m.node_id != self.node_id]
-        announcement: list[Effect] = [Send(node_id, hint) for node_id in others]
-        return [Emit(LogEvent.CONTROLLER_STARTED, {"epoch": epoch}), *announcement]
+        announcements: list[Effect] = [Send(node_id, hint) for node_id in others]
+        return [Emit(LogEvent.CONTROLLER_STARTED, {"epoch": epoch}), *announcements]
 
     def _stop_controller(self) -> list[Effect]:
-        """At a lapse of the lease all of the controller's memory is given up."""
+        """Discards the controller and its in-memory state when the leader lease expires."""
         if self.controller is None:
             return []
         epoch = self.controller.epoch
@@ -361,7 +367,7 @@
             policies=self.policies,
             table=self.table,
             owner_of=self.ownership.owner_of,
-            is_working=self._is_working,
+            is_working=self._is_healthy,
             wall_time_s=self.wall_time_s,
             admits_rollouts=self.configuration.store.lease_valid(now),
         )
@@ -378,135 +384,142 @@
             lease_age_s=store.lease_age(now),
         )
 
-    # Inputs from the driver.
+    # Driver callbacks.
 
     def persisted(self, now: float, write_id: int) -> list[Effect]:
-        """A `Persist` effect is durable."""
+        """Reports that the write of a `Persist` effect is durable."""
         if self.replica is None:
             return []
-        return self._settle(now, self.replica.persisted(now, write_id))
+        return self._process_effects(now, self.replica.persisted(now, write_id))
 
     def configuration_fetched(
         self, now: float, configuration: Configuration | None
     ) -> list[Effect]:
-        """Answers `FetchConfiguration`; None where nothing is new or the API failed."""
+        """Completes `FetchConfiguration`; None if there is no newer revision or the API failed."""
         leader = self.leader(now) or self.tracker.ask(now)
-        return self._settle(now, self.configuration.fetched(now, configuration, leader))
+        return self._process_effects(now, self.configuration.fetched(now, configuration, leader))
 
     def machines_fetched(self, now: float, machines: list[Machine] | None) -> list[Effect]:
-        """Answers `FetchMachines`; None where the list did not answer."""
-        return self._settle(now, self.configuration.machines_fetched(machines))
+        """Completes `FetchMachines`; None if the machine list is unavailable."""
+        return self._process_effects(now, self.configuration.machines_fetched(machines))
 
     def load_reported(self, now: float, sampler_id: str, load: LoadReport | None) -> list[Effect]:
-        """Answers `QueryLoad`; None where the engine did not answer."""
+        """Completes `QueryLoad`; None if the engine did not respond."""
         self.owner.load_reported(now, sampler_id, load)
         return []
 
     def stream_chunk(self, now: float, request_id: str, chunk: StreamChunk) -> list[Effect]:
-        """Tokens of a stream arrived."""
+        """Handles a chunk of tokens received on a stream."""
         if self.owner.owns_stream(request_id):
-            return self._settle(now, self.owner.stream_chunk(request_id, chunk))
-        return self._settle(now, self.gateway.stream_chunk(now, request_id, chunk))
+            return self._process_effects(now, self.owner.stream_chunk(request_id, chunk))
+        return self._process_effects(now, self.gateway.stream_chunk(now, request_id, chunk))
 
     def stream_end(self, now: float, request_id: str, end: StreamEnd) -> list[Effect]:
-        """The counted last frame of a stream arrived."""
+        """Handles the final frame of a stream, which carries its token count."""
         if self.owner.owns_stream(request_id):
-            return self._settle(now, self.owner.stream_end(request_id, end))
+            return self._process_effects(now, self.owner.stream_end(request_id, end))
         view = self._gateway_view(now)
-        return self._settle(now, self.gateway.stream_end(now, request_id, end, view))
+        return self._process_effects(now, self.gateway.stream_end(now, request_id, end, view))
 
     def stream_failed(
         self, now: float, request_id: str, surely_not_begun: bool, detail: str
     ) -> list[Effect]:
-        """A stream was refused, cut or lost."""
+        """Handles a stream that was rejected, truncated or lost."""
         if self.owner.owns_stream(request_id):
-            return self._settle(now, self.owner.stream_failed(request_id))
+            return self._process_effects(now, self.owner.stream_failed(request_id))
         effects = self.gateway.stream_failed(
             now, request_id, surely_not_begun, detail, self._gateway_view(now)
         )
-        return self._settle(now, effects)
+        return self._process_effects(now, effects)
 
     def cancel_confirmed(
         self, now: float, request_id: str, state: CancelState | None
     ) -> list[Effect]:
-        """Answers `ConfirmNotRun`."""
-        return self._settle(now, self.gateway.cancel_confirmed(now, request_id, state))
+        """Completes `ConfirmNotRun`."""
+        return self._process_effects(now, self.gateway.cancel_confirmed(now, request_id, state))
 
-    # Calls of the HTTP side.
+    # Calls from the HTTP server.
 
     def submit_lookup(self, now: float, request: LookupRequest) -> list[Effect]:
-        """Takes a lookup; one `AnswerReady` follows."""
-        return self._settle(now, self.gateway.submit(now, request, self._gateway_view(now)))
+        """Submits a lookup; exactly one `AnswerReady` effect follows."""
+        return self._process_effects(
+            now, self.gateway.submit(now, request, self._gateway_view(now))
+        )
 
     def cancel_lookup(self, now: float, request_id: str) -> list[Effect]:
-        """The caller of a lookup went away."""
-        return self._settle(now, self.gateway.cancelled_by_caller(request_id))
+        """Cancels a lookup whose client disconnected."""
+        return self._process_effects(now, self.gateway.cancelled_by_caller(request_id))
 
     def explain(self, now: float, request: LookupRequest) -> Explanation:
-        """Why a lookup would go where. Raises what its admission would."""
+        """Explains how a lookup would be routed. Raises the same errors as its admission."""
         return self.gateway.explain(now, request, self._gateway_view(now))
 
     def submit_command(self, now: float, command: Command) -> tuple[int, list[Effect]]:
-        """Sends a command to the ledger; `CommandFinished` follows with the ticket."""
+        """Submits a command to the ledger; `CommandFinished` with the returned ticket follows."""
         ticket, effects = self.client.submit(now, command)
-        return ticket, self._settle(now, effects)
+        return ticket, self._process_effects(now, effects)
 
     def read_deliveries(self, now: float, request: DeliveryRequest) -> list[Effect]:
-        """Asks the leader for deliveries; `DeliveryFinished` may follow. Ask again if not."""
+        """Requests deliveries from the leader.
+
+        The caller must retry if no `DeliveryFinished` effect follows.
+        """
         return self._ask_leader(now, request)
 
     def ask_status(self, now: float, ticket: int) -> list[Effect]:
-        """Asks the leader for its status; `StatusFinished` may follow."""
+        """Requests the leader's status; a `StatusFinished` effect may follow."""
         return self._ask_leader(now, StatusRequest(ticket))
 
     def _ask_leader(self, now: float, message: object) -> list[Effect]:
         leader = self.leader(now) or self.tracker.ask(now)
-        return self._settle(now, [Send(leader, message)]) if leader is not None else []
+        return self._process_effects(now, [Send(leader, message)]) if leader is not None else []
 
     def drain(self, now: float) -> list[Effect]:
-        """Stops admitting and gives generations back; lookups in flight are finished.
+        """Stops admitting work and hands over running generations; finishes in-flight lookups.
 
-        The driver ends the process once the node is `idle`.
+        The driver stops the process once the node is `idle`.
         """
         if self.draining:
             return []
         self.draining = True
         self.gateway.draining = True
         effects: list[Effect] = [Emit(LogEvent.DRAIN_STARTED, {})]
-        # The others learn that it leaves before they learn of work to be placed anew.
+        # Announces the departure first, so that handed-over work is not assigned to this node.
         effects += self.membership.leave()
-        return self._settle(now, effects + self.owner.hand_over())
+        return self._process_effects(now, effects + self.owner.hand_over())
 
     def drain_sampler(self, now: float, sampler_id: str) -> list[Effect]:
-        """An operator's drain of a sampler, told to every node."""
+        """Broadcasts an operator's request to drain a sampler to all nodes."""
         message = DrainSampler(sampler_id)
         targets = [member.node_id for member in self.membership.alive()]
-        return self._settle(now, [Send(target, message) for target in targets])
+        return self._process_effects(now, [Send(target, message) for target in targets])
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is in flight here."""
+        """Whether this node has no work in flight."""
         return self.gateway.open_count == 0 and self.owner.running_count == 0
 
-    # Effects between the parts.
+    # Effects between components.
 
-    def _settle(self, now: float, effects: list[Effect]) -> list[Effect]:
-        """Carries out what concerns this node's own parts; returns what is the driver's."""
-        outside: list[Effect] = []
+    def _process_effects(self, now: float, effects: list[Effect]) -> list[Effect]:
+        """Executes internal effects and those that follow from them; returns external effects."""
+        external: list[Effect] = []
         pending = list(reversed(effects))
         while pending:
             effect = pending.pop()
-            inside = self._inside(now, effect)
-            if inside is None:
-                outside.append(effect)
+            resulting = self._execute_internal(now, effect)
+            if resulting is None:
+                external.append(effect)
             else:
-                pending.extend(reversed(inside))
-        return outside
+                pending.extend(reversed(resulting))
+        return external
 
-    def _inside(self, now: float, effect: Effect) -> list[Effect] | None:
-        """The effects that follow from an inner one, or None for one of the driver's."""
+    def _execute_internal(self, now: float, effect: Effect) -> list[Effect] | None:
+        """Executes an internal effect and returns the resulting effects; None if external."""
         if isinstance(effect, Send):
-            return self._handle(now, self.node_id, effect.message) if self._is_me(effect) else None
+            return (
+                self._handle(now, self.node_id, effect.message) if self._is_local(effect) else None
+            )
         if isinstance(effect, Applied | Dropped):
             result = effect.result if isinstance(effect, Applied) else None
             return self._on_applied(now, effect.ticket, result)
@@ -533,7 +546,7 @@
             return self.table.set_machines(self.configuration.store.machines)
         return None
 
-    def _is_me(self, effect: Send) -> bool:
+    def _is_local(self, effect: Send) -> bool:
         return effect.to == self.node_id
 
     def _claim(self, request: LookupRequest) -> ClaimKey:
@@ -568,7 +581,7 @@
         return []
 
     def _on_applied(self, now: float, ticket: object, result: CommandResult | None) -> list[Effect]:
-        """A command proposed here was applied, or dropped (None)."""
+        """Handles the result of a command proposed by this node; None if it was dropped."""
         if isinstance(ticket, _ForwardTicket):
             return [Send(ticket.sender, CommandAnswer(ticket.ticket, result, ""))]
         if isinstance(ticket, HandOverTicket) and self.controller is not None:
@@ -582,7 +595,7 @@
             return []
         return self.authority.floor_raised(now, self.replica.state.configuration_floor)
 
-    def _tell_failed_rules(self) -> list[Effect]:
+    def _emit_rule_failures(self) -> list[Effect]:
         return [
             Emit(LogEvent.RULE_FAILED, msgspec.to_builtins(failure))
             for failure in self.policies.take_failures()
