--- a/stileloom/configuration/__init__.py
+++ b/stileloom/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: few readers of the object API, revisions that never go back, leases."""
+"""Configuration distribution: object API readers, monotonic revisions and leases."""
 
 from stileloom.configuration.authority import ConfigurationAuthority, RaiseFloor
 from stileloom.configuration.effects import (
--- a/stileloom/configuration/effects.py
+++ b/stileloom/configuration/effects.py
@@ -1,4 +1,4 @@
-"""What the configuration parts ask their driver to do, beside sending."""
+"""Effects of the configuration components other than sending messages."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True):
-    """Watch the object API after this revision; answer with `fetched` or `fetch_failed`."""
+    """Watch the object API for a newer revision; answered by `NodeCore.configuration_fetched`."""
 
     after_revision: int
 
 
 class FetchMachines(msgspec.Struct, frozen=True):
-    """Read the machine list; answer with `machines_fetched`."""
+    """Read the machine list; answered by `NodeCore.machines_fetched`."""
 
 
 class ConfigurationAdopted(msgspec.Struct, frozen=True):
-    """The node's configuration changed to this revision."""
+    """The node adopted this configuration revision."""
 
     revision: int
 
--- a/stileloom/configuration/messages.py
+++ b/stileloom/configuration/messages.py
@@ -1,8 +1,8 @@
-"""Messages that carry the configuration from readers to nodes.
+"""Messages of the configuration protocol.
 
-Three steps, each asked for by the receiver with a nonce, so that every lease counts from
-the time of asking on the asker's own clock: leader -> reader (grant), reader -> node
-(renewal), and whole configurations pulled on difference.
+Leases flow from the leader to readers (grants) and from readers to nodes (renewals). The
+receiver requests each lease with a nonce and counts its duration from the time of the request on
+its own clock. Configurations are pulled when revisions differ.
 """
 
 from __future__ import annotations
@@ -13,42 +13,41 @@
 
 
 class GrantRequest(msgspec.Struct, frozen=True, tag=True):
-    """A reader asks the leader for the right to serve `revision` for a while."""
+    """Sent by a reader to the leader: requests a lease to serve `revision`."""
 
     nonce: int
     zone: str
     revision: int
-    """Highest revision that the reader holds; 0 for none."""
+    """Highest revision held by the reader; 0 if none."""
     confirmed: int
-    """Lowest revision held by any node with a lease from this reader, and by itself."""
+    """Lowest revision held by the reader and by all nodes with a lease from it."""
 
 
 class GrantReply(msgspec.Struct, frozen=True, tag=True):
-    """The leader's grant. A reader whose revision is below `floor` may serve nothing."""
+    """Lease issued by the leader. A reader whose revision is below `floor` must not serve."""
 
     nonce: int
     floor: int
     floor_holder: str
-    """A reader that holds at least the floor, to pull from."""
+    """A reader that holds at least the floor revision and can be pulled from; empty if none."""
     in_force: int
-    """Highest revision known to be in force in every zone; 0 where not known yet."""
+    """Highest revision known to be in force in every zone; 0 if not known."""
     lease_s: float
     epoch: int
-    """The leader's epoch."""
 
 
 class RenewRequest(msgspec.Struct, frozen=True, tag=True):
-    """A node asks a reader of its zone for a configuration lease."""
+    """Sent by a node to a reader of its zone: requests a configuration lease."""
 
     nonce: int
     revision: int
     machines_digest: int
     starting: bool
-    """The node holds no revision: the reader must renew its own grant first."""
+    """Whether the node holds no revision; the reader must then first renew its own grant."""
 
 
 class RenewReply(msgspec.Struct, frozen=True, tag=True):
-    """The reader's revision and a lease for a node that holds it."""
+    """The reader's revision, and a lease if the node already holds it (otherwise 0 seconds)."""
 
     nonce: int
     revision: int
@@ -56,32 +55,32 @@
     in_force: int
     lease_s: float
     leader: str
-    """Who leads the ledger as far as the reader knows; empty where it does not."""
+    """The ledger leader known to the reader; empty if unknown."""
     epoch: int
 
 
 class RevisionNotice(msgspec.Struct, frozen=True, tag=True):
-    """A reader has a new revision: renew now."""
+    """Sent by a reader that adopted a new revision, for nodes to pull."""
 
     revision: int
 
 
 class ConfigurationPull(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the whole configuration."""
+    """Requests the complete configuration."""
 
 
 class ConfigurationReply(msgspec.Struct, frozen=True, tag=True):
-    """The whole configuration at the sender's revision."""
+    """The complete configuration at the sender's revision."""
 
     configuration: Configuration
 
 
 class MachinesPull(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the machine list."""
+    """Requests the machine list."""
 
 
 class MachinesReply(msgspec.Struct, frozen=True, tag=True):
-    """The machine list as the reader last saw it."""
+    """The machine list last fetched by the reader."""
 
     digest: int
     machines: list[Machine]
--- a/stileloom/configuration/node.py
+++ b/stileloom/configuration/node.py
@@ -1,4 +1,4 @@
-"""The configuration part of every node: renews its lease with a reader of its zone."""
+"""Configuration component of a node: keeps its lease renewed with a reader of its zone."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ConfigurationNode:
-    """Keeps this node's configuration fresh, and is a reader while it is chosen as one."""
+    """Keeps the configuration of a node current; runs a `Reader` while the node is designated."""
 
     def __init__(self, node_id: str, zone: str) -> None:
         self.store = ConfigurationStore()
@@ -33,35 +33,38 @@
         self._nonce = 0
         self._sent_at: dict[int, float] = {}
         self._next_renew_at = float("-inf")
-        self._reader_turn = 0
-        self._answered = True
+        self._reader_index = 0
+        self._renewal_answered = True
         self._lease_was_valid = False
 
     def tick(self, now: float, readers: list[str], leader: str | None) -> list[Effect]:
-        """`readers` are the chosen readers of this zone, `leader` the ledger's leader."""
+        """Updates the reader role and sends due requests.
+
+        `readers` are the designated readers of this zone; `leader` is the ledger leader.
+        """
         effects = self._update_role(now, readers)
         if self.reader is not None:
             effects += self.reader.tick(now, leader)
         elif now >= self._next_renew_at:
             effects += self._renew(now, readers)
-        return effects + self._watch_lease(now)
+        return effects + self._report_lease_expiry(now)
 
     def handle(self, now: float, sender: str, message: object) -> list[Effect]:
-        """Takes one message of the configuration protocol."""
+        """Handles a message of the configuration protocol."""
         before = self.store.revision
         effects = self._dispatch(now, sender, message)
-        return effects + self._adoption(before)
+        return effects + self._adoption_effects(before)
 
-    def fetched(
+    def configuration_fetched(
         self, now: float, configuration: Configuration | None, leader: str | None
     ) -> list[Effect]:
-        """The object API answered the watch, or failed (None)."""
+        """Handles a watch result; None if there is no newer revision or the API failed."""
         if self.reader is None:
             return []
-        return self.reader.fetched(now, configuration, leader)
+        return self.reader.configuration_fetched(now, configuration, leader)
 
     def machines_fetched(self, machines: list[Machine] | None) -> list[Effect]:
-        """The machine list answered, or failed (None)."""
+        """Handles a poll of the machine list; None if it failed."""
         if self.reader is None or not self.reader.machines_fetched(machines):
             return []
         return [MachinesAdopted()]
@@ -91,7 +94,7 @@
             return self.reader.on_renew(now, sender, message)
         return []
 
-    def _adoption(self, before: int) -> list[Effect]:
+    def _adoption_effects(self, before: int) -> list[Effect]:
         if self.store.revision == before:
             return []
         fields: dict[str, object] = {"revision": self.store.revision, "before": before}
@@ -99,11 +102,11 @@
         return [Emit(LogEvent.CONFIGURATION_ADOPTED, fields), adopted]
 
     def _update_role(self, now: float, readers: list[str]) -> list[Effect]:
-        chosen = self._node_id in readers
-        if chosen and self.reader is None:
+        is_designated = self._node_id in readers
+        if is_designated and self.reader is None:
             self.reader = Reader(self._node_id, self._zone, self.store, now)
             return [Emit(LogEvent.READER_STARTED, {"zone": self._zone})]
-        if not chosen and self.reader is not None:
+        if not is_designated and self.reader is not None:
             self.reader = None
             return [Emit(LogEvent.READER_STOPPED, {"zone": self._zone})]
         return []
@@ -111,15 +114,15 @@
     def _renew(self, now: float, readers: list[str]) -> list[Effect]:
         if not readers:
             return []
-        if not self._answered:
-            self._reader_turn += 1
-        self._answered = False
+        if not self._renewal_answered:
+            self._reader_index += 1
+        self._renewal_answered = False
         ranked = rendezvous_ranked(f"reader-of/{self._node_id}", readers)
-        target = ranked[self._reader_turn % len(ranked)]
-        return self._ask(now, target)
+        target = ranked[self._reader_index % len(ranked)]
+        return self._send_renewal(now, target)
 
-    def _ask(self, now: float, reader: str) -> list[Effect]:
-        self._next_renew_at = now + constants.CONFIGURATION_RENEW_S
+    def _send_renewal(self, now: float, reader: str) -> list[Effect]:
+        self._next_renew_at = now + constants.CONFIGURATION_RENEW_INTERVAL_S
         self._nonce += 1
         self._sent_at[self._nonce] = now
         if len(self._sent_at) > 16:
@@ -134,7 +137,7 @@
         sent_at = self._sent_at.pop(message.nonce, None)
         if sent_at is None:
             return []
-        self._answered = True
+        self._renewal_answered = True
         self.store.in_force = max(self.store.in_force, message.in_force)
         effects: list[Effect] = []
         if message.machines_digest != self.store.machines_digest:
@@ -158,10 +161,10 @@
             self._next_renew_at = now
         return []
 
-    def _watch_lease(self, now: float) -> list[Effect]:
+    def _report_lease_expiry(self, now: float) -> list[Effect]:
         valid = self.store.lease_valid(now)
-        lapsed = self._lease_was_valid and not valid
+        expired = self._lease_was_valid and not valid
         self._lease_was_valid = valid
-        if not lapsed:
+        if not expired:
             return []
         return [Emit(LogEvent.CONFIGURATION_LEASE_LAPSED, {"revision": self.store.revision})]
--- a/stileloom/configuration/store.py
+++ b/stileloom/configuration/store.py
@@ -1,4 +1,4 @@
-"""What a node holds of the configuration: it only ever goes up."""
+"""Configuration state of a node; its revision never decreases."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
         self.in_force = 0
         self.machines: list[Machine] = []
         self.machines_digest = 0
-        self._lease_until = float("-inf")
+        self._lease_expires_at = float("-inf")
         self._adopted_at = float("-inf")
 
     @property
     def revision(self) -> int:
-        """The revision held, 0 for none."""
+        """Revision of the held configuration, or 0 if none."""
         return self.configuration.revision if self.configuration is not None else 0
 
     def adopt(self, now: float, configuration: Configuration) -> bool:
-        """Takes a higher revision; refuses a lower or equal one."""
+        """Stores a configuration if its revision is higher than the held one."""
         if configuration.revision <= self.revision:
             return False
         self.configuration = configuration
@@ -33,7 +33,7 @@
         return True
 
     def adopt_machines(self, machines: list[Machine]) -> bool:
-        """Takes a machine list if it differs."""
+        """Stores a machine list if it differs; returns whether it did."""
         digest = machines_digest(machines)
         if digest == self.machines_digest:
             return False
@@ -41,21 +41,21 @@
         self.machines_digest = digest
         return True
 
-    def extend_lease(self, until: float) -> None:
-        """Renews the configuration lease up to a monotonic time."""
-        self._lease_until = max(self._lease_until, until)
+    def extend_lease(self, expires_at: float) -> None:
+        """Extends the lease to a monotonic time; never shortens it."""
+        self._lease_expires_at = max(self._lease_expires_at, expires_at)
 
     def lease_valid(self, now: float) -> bool:
-        """Whether the node may admit new rollouts under its configuration."""
-        return self.configuration is not None and now < self._lease_until
+        """Returns whether the node may admit new rollouts under its configuration."""
+        return self.configuration is not None and now < self._lease_expires_at
 
-    def lease_age(self, now: float) -> float:
-        """Seconds since the lease lapsed, 0 while it holds."""
-        return max(0.0, now - self._lease_until)
+    def time_since_lease_expiry(self, now: float) -> float:
+        """Returns the seconds since the lease expired, or 0 while it is valid."""
+        return max(0.0, now - self._lease_expires_at)
 
 
 def machines_digest(machines: list[Machine]) -> int:
-    """A hash of a machine list; 0 stands for none."""
+    """Returns a hash of a machine list, or 0 if it is empty."""
     if not machines:
         return 0
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(machines))
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -381,7 +381,7 @@
             subset=self.ownership.subset,
             wall_time_s=self.wall_time_s,
             lease_valid=store.lease_valid(now),
-            lease_age_s=store.lease_age(now),
+            lease_age_s=store.time_since_lease_expiry(now),
         )
 
     # Driver callbacks.
@@ -397,7 +397,9 @@
     ) -> list[Effect]:
         """Completes `FetchConfiguration`; None if there is no newer revision or the API failed."""
         leader = self.leader(now) or self.tracker.ask(now)
-        return self._process_effects(now, self.configuration.fetched(now, configuration, leader))
+        return self._process_effects(
+            now, self.configuration.configuration_fetched(now, configuration, leader)
+        )
 
     def machines_fetched(self, now: float, machines: list[Machine] | None) -> list[Effect]:
         """Completes `FetchMachines`; None if the machine list is unavailable."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -33,7 +33,7 @@
         store.extend_lease(3.0)
         self.assertTrue(store.lease_valid(2.9))
         self.assertFalse(store.lease_valid(3.0))
-        self.assertEqual(1.0, store.lease_age(4.0))
+        self.assertEqual(1.0, store.time_since_lease_expiry(4.0))
 
 
 class AuthorityTest(testtools.TestCase):
@@ -90,20 +90,20 @@
         )
 
     def test_it_serves_nothing_below_the_floor(self) -> None:
-        self.reader.fetched(0.0, Configuration(4), None)
+        self.reader.configuration_fetched(0.0, Configuration(4), None)
         self.granted(0.0, floor=5)
         self.assertFalse(self.reader.serving(0.1))
         self.reader.adopt(0.2, Configuration(5))
         self.assertTrue(self.reader.serving(0.3))
 
     def test_it_serves_nothing_above_what_a_grant_covers(self) -> None:
-        self.reader.fetched(0.0, Configuration(4), None)
+        self.reader.configuration_fetched(0.0, Configuration(4), None)
         self.granted(0.0, floor=4)
-        self.reader.fetched(0.1, Configuration(6), None)
+        self.reader.configuration_fetched(0.1, Configuration(6), None)
         self.assertEqual(4, self.store.revision)
 
     def test_a_starting_node_waits_for_a_newer_grant(self) -> None:
-        self.reader.fetched(0.0, Configuration(4), None)
+        self.reader.configuration_fetched(0.0, Configuration(4), None)
         self.granted(0.0, floor=4)
         starting = RenewRequest(1, 0, 0, starting=True)
         self.assertEqual([], self.reader.on_renew(0.1, "n", starting))
@@ -111,10 +111,10 @@
         self.assertIn("n", [e.to for e in effects if isinstance(e, Send)])
 
     def test_it_confirms_what_its_slowest_node_holds(self) -> None:
-        self.reader.fetched(0.0, Configuration(4), None)
+        self.reader.configuration_fetched(0.0, Configuration(4), None)
         self.granted(0.0, floor=4)
         self.reader.on_renew(0.1, "n", RenewRequest(1, 4, 0, starting=False))
-        self.reader.fetched(0.2, Configuration(5), None)
+        self.reader.configuration_fetched(0.2, Configuration(5), None)
         self.granted(0.6, floor=5)
         self.assertEqual(5, self.store.revision)
         self.assertEqual(4, self.reader.confirmed(0.7))
