--- a/stileloom/constants.py
+++ b/stileloom/constants.py
@@ -11,10 +11,10 @@
 NODE_SYNC_INTERVAL_S = 8.0
 """How often an ordinary node compares its table with a representative's: gossip may miss some."""
 DEAD_MEMBER_PROBE_INTERVAL_S = 5.0
-SEED_SYNC_YOUNG_S = 3.0
+STARTUP_SEED_SYNC_INTERVAL_S = 3.0
 """How often a young representative asks a seed: nodes that start together may form islands."""
-SEED_SYNC_OLD_S = 30.0
-YOUNG_FOR_S = 60.0
+SEED_SYNC_INTERVAL_S = 30.0
+STARTUP_PERIOD_S = 60.0
 REPRESENTATIVES_PER_ZONE = 2
 
 # Ledger (Raft: Ongaro and Ousterhout 2014; leader stickiness from section 6 there).
--- a/stileloom/membership/__init__.py
+++ b/stileloom/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which nodes there are, which are alive, which are leaving."""
+"""Cluster membership: known nodes and whether they are alive or leaving."""
 
 from stileloom.membership.messages import Member, MemberState
 from stileloom.membership.swim import Membership, Seed
--- a/stileloom/membership/messages.py
+++ b/stileloom/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages and records of the membership protocol."""
+"""Messages and member records of the membership protocol."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member at one incarnation; a higher value overrides a lower one."""
+    """State of a member; within one incarnation a higher value overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,7 +16,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one node."""
+    """Record of one node."""
 
     node_id: str
     zone: str
@@ -26,30 +26,30 @@
     """TCP and UDP port of the internal protocol."""
     http_port: int
     incarnation: int
-    """Set at the start of a process, raised by the node itself to refute a suspicion."""
+    """Set when the process starts; incremented by the node itself to refute a suspicion."""
     state: MemberState = MemberState.ALIVE
     leaving: bool = False
-    """Sticks for the life of the process: it takes no new work."""
+    """Whether the node takes no new work; permanent for the life of its process."""
     voter: bool = False
-    """Whether the node keeps a replica of the ledger."""
+    """Whether the node hosts a ledger replica."""
 
 
 class Ping(msgspec.Struct, frozen=True, tag=True):
-    """A probe; `updates` is gossip."""
+    """A probe with piggybacked membership updates."""
 
     sequence: int
     updates: list[Member]
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, tag=True):
-    """The answer to a probe, direct or relayed."""
+    """Response to a direct or relayed probe."""
 
     sequence: int
     updates: list[Member]
 
 
 class PingRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks another member to probe `target` on the sender's behalf."""
+    """Requests an indirect probe of `target` on the sender's behalf."""
 
     sequence: int
     target: str
@@ -57,13 +57,13 @@
 
 
 class MembershipDigest(msgspec.Struct, frozen=True, tag=True):
-    """A hash over a member table; sent between zones, answered only on difference."""
+    """Hash of the sender's member table; answered only if the recipient's differs."""
 
     digest: int
 
 
 class MembershipTable(msgspec.Struct, frozen=True, tag=True):
-    """A whole member table; `reply_wanted` asks for the other side's table."""
+    """Member records, in part or all of a table; `reply_wanted` requests the recipient's table."""
 
     members: list[Member]
     reply_wanted: bool
--- a/stileloom/membership/swim.py
+++ b/stileloom/membership/swim.py
@@ -1,8 +1,8 @@
-"""Membership: SWIM with suspicion inside a zone, representatives between zones.
+"""SWIM membership within a zone, with representatives between zones.
 
-Source: Das, Gupta, Motivala, "SWIM" (2002): probes, indirect probes, suspicion and
-incarnations, updates carried on probes. Between zones only a few representatives probe one
-another and compare digests of their tables.
+Implements Das, Gupta and Motivala, "SWIM" (2002): direct and indirect probes, suspicion with
+incarnation numbers, and updates piggybacked on probes. Between zones only a few representatives
+probe one another and compare digests of their member tables.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class Seed(msgspec.Struct, frozen=True):
-    """Where a starting node asks for the member table."""
+    """Address from which a starting node requests the member table."""
 
     host: str
     port: int
 
 
 class _Probe(msgspec.Struct):
-    """One probe under way."""
+    """An outstanding probe of this node."""
 
     target: str
     sent_at: float
@@ -43,7 +43,7 @@
 
 
 class _Relay(msgspec.Struct):
-    """A probe made for another node."""
+    """A probe sent on behalf of another node."""
 
     requester: str
     requester_sequence: int
@@ -51,19 +51,19 @@
 
 
 class Membership:
-    """The member table of one node and the protocol that keeps it."""
+    """Member table of one node and the protocol that maintains it."""
 
-    def __init__(self, me: Member, seeds: list[Seed], rng: random.Random) -> None:
-        self.me = me
+    def __init__(self, local_member: Member, seeds: list[Seed], rng: random.Random) -> None:
+        self.local_member = local_member
         self._seeds = seeds
         self._rng = rng
-        self._members: dict[str, Member] = {me.node_id: me}
+        self._members: dict[str, Member] = {local_member.node_id: local_member}
         self._suspected_at: dict[str, float] = {}
         self._probes: dict[int, _Probe] = {}
         self._relays: dict[int, _Relay] = {}
         self._sequence = 0
         self._probe_order: list[str] = []
-        self._gossip_left: dict[str, int] = {}
+        self._transmissions_left: dict[str, int] = {}
         self._next_probe_at = 0.0
         self._next_zone_sync_at = 0.0
         self._next_node_sync_at = 0.0
@@ -72,32 +72,31 @@
         self._next_dead_probe_at = 0.0
         self._digest: int | None = None
         self._alive: dict[str | None, list[Member]] = {}
-        self._working: dict[str | None, list[str]] = {}
-        self.working_version = 0
-        """Raised whenever the set of working nodes changes; others use it to notice that."""
+        self._eligible: dict[str | None, list[str]] = {}
+        self.eligible_version = 0
+        """Incremented when the set of eligible nodes changes; callers use it to refresh caches."""
 
-    # Reading the table.
+    # Queries.
 
     @property
     def node_id(self) -> str:
-        """This node's id."""
-        return self.me.node_id
+        return self.local_member.node_id
 
     def members(self) -> list[Member]:
-        """Every known member, also dead ones."""
+        """Returns every known member, including dead ones."""
         return list(self._members.values())
 
     def get(self, node_id: str) -> Member | None:
-        """The record of a node, or None."""
+        """Returns the record of a node, or None if it is unknown."""
         return self._members.get(node_id)
 
     def is_alive(self, node_id: str) -> bool:
-        """Whether a node is not known to be dead."""
+        """Returns whether a node is known and not dead."""
         member = self._members.get(node_id)
         return member is not None and member.state != MemberState.DEAD
 
     def alive(self, zone: str | None = None) -> list[Member]:
-        """Members not known to be dead, in one zone or in all."""
+        """Returns the members that are not dead (alive or suspect), of one zone or all."""
         if zone not in self._alive:
             self._alive[zone] = [
                 member
@@ -106,31 +105,31 @@
             ]
         return self._alive[zone]
 
-    def working(self, zone: str | None = None) -> list[str]:
-        """Nodes to give new work to, in one zone or in all.
+    def eligible(self, zone: str | None = None) -> list[str]:
+        """Returns the ids of nodes eligible for new work, of one zone or all.
 
-        A suspect is passed over until it has refuted.
+        Suspect and leaving members are excluded.
         """
-        if zone not in self._working:
-            self._working[zone] = [
-                member.node_id for member in self.alive(zone) if _is_working(member)
+        if zone not in self._eligible:
+            self._eligible[zone] = [
+                member.node_id for member in self.alive(zone) if _is_eligible(member)
             ]
-        return self._working[zone]
+        return self._eligible[zone]
 
     def zones(self) -> list[str]:
-        """All zones that have a member that is not dead, sorted."""
+        """Returns all zones with a member that is not dead, sorted."""
         return sorted({member.zone for member in self.alive()})
 
     def representatives(self, zone: str) -> list[str]:
-        """The nodes that speak for a zone."""
+        """Returns the nodes that exchange membership state with other zones for `zone`."""
         candidates = [member.node_id for member in self.alive(zone) if not member.leaving]
         ranked = rendezvous_ranked(f"representative/{zone}", candidates)
         return ranked[: constants.REPRESENTATIVES_PER_ZONE]
 
-    # Driving.
+    # Timers and messages.
 
     def tick(self, now: float) -> list[Effect]:
-        """Runs the timers: probes, suspicions, comparison between zones."""
+        """Runs the timers for probes, suspicions and table synchronization."""
         effects: list[Effect] = []
         effects += self._check_probes(now)
         effects += self._check_suspicions(now)
@@ -151,10 +150,13 @@
         return effects
 
     def handle(self, now: float, sender: str, message: object) -> list[Effect]:
-        """Takes one message of the membership protocol."""
+        """Handles a message of the membership protocol."""
         if isinstance(message, Ping):
             effects = self._merge_all(now, message.updates)
-            return [*effects, Send(sender, Acknowledgement(message.sequence, self._gossip()))]
+            return [
+                *effects,
+                Send(sender, Acknowledgement(message.sequence, self._select_gossip())),
+            ]
         if isinstance(message, Acknowledgement):
             return self._merge_all(now, message.updates) + self._on_acknowledgement(now, message)
         if isinstance(message, PingRequest):
@@ -171,12 +173,12 @@
         return []
 
     def leave(self) -> list[Effect]:
-        """Marks this node as leaving; sticks until the process ends."""
-        if self.me.leaving:
+        """Announces that this node is leaving; permanent for the life of the process."""
+        if self.local_member.leaving:
             return []
-        self._store(msgspec.structs.replace(self.me, leaving=True))
-        targets = [member.node_id for member in self.alive(self.me.zone)]
-        table = MembershipTable([self.me], reply_wanted=False)
+        self._store_record(msgspec.structs.replace(self.local_member, leaving=True))
+        targets = [member.node_id for member in self.alive(self.local_member.zone)]
+        table = MembershipTable([self.local_member], reply_wanted=False)
         for zone in self.zones():
             targets += self.representatives(zone)
         return [Send(target, table) for target in sorted(set(targets)) if target != self.node_id]
@@ -184,10 +186,10 @@
     # Probing.
 
     def _probe_candidates(self) -> list[str]:
-        candidates = [member.node_id for member in self.alive(self.me.zone)]
-        if self.node_id in self.representatives(self.me.zone):
+        candidates = [member.node_id for member in self.alive(self.local_member.zone)]
+        if self.node_id in self.representatives(self.local_member.zone):
             for zone in self.zones():
-                if zone != self.me.zone:
+                if zone != self.local_member.zone:
                     candidates += self.representatives(zone)
         return [node_id for node_id in candidates if node_id != self.node_id]
 
@@ -205,14 +207,14 @@
     def _ping(self, now: float, target: str) -> Effect:
         self._sequence += 1
         self._probes[self._sequence] = _Probe(target, now)
-        return Send(target, Ping(self._sequence, self._gossip(about=target)))
+        return Send(target, Ping(self._sequence, self._select_gossip(about=target)))
 
     def _check_probes(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for sequence, probe in list(self._probes.items()):
             if not probe.indirect and now >= probe.sent_at + constants.PROBE_TIMEOUT_S:
                 probe.indirect = True
-                effects += self._ask_others(sequence, probe.target)
+                effects += self._send_indirect_probes(sequence, probe.target)
             if now >= probe.sent_at + constants.PROBE_INTERVAL_S:
                 del self._probes[sequence]
                 effects += self._suspect(now, probe.target)
@@ -221,16 +223,18 @@
                 del self._relays[sequence]
         return effects
 
-    def _ask_others(self, sequence: int, target: str) -> list[Effect]:
-        helpers = [node for node in self._probe_candidates() if node != target]
-        count = min(constants.INDIRECT_PROBES, len(helpers))
-        chosen = self._rng.sample(sorted(helpers), count)
-        return [Send(node, PingRequest(sequence, target, self._gossip())) for node in chosen]
+    def _send_indirect_probes(self, sequence: int, target: str) -> list[Effect]:
+        relays = [node for node in self._probe_candidates() if node != target]
+        count = min(constants.INDIRECT_PROBES, len(relays))
+        chosen = self._rng.sample(sorted(relays), count)
+        return [Send(node, PingRequest(sequence, target, self._select_gossip())) for node in chosen]
 
     def _relay(self, now: float, sender: str, message: PingRequest) -> list[Effect]:
         self._sequence += 1
         self._relays[self._sequence] = _Relay(sender, message.sequence, now)
-        return [Send(message.target, Ping(self._sequence, self._gossip(about=message.target)))]
+        return [
+            Send(message.target, Ping(self._sequence, self._select_gossip(about=message.target)))
+        ]
 
     def _on_acknowledgement(self, now: float, message: Acknowledgement) -> list[Effect]:
         relay = self._relays.pop(message.sequence, None)
@@ -240,18 +244,18 @@
         return []
 
     def _probe_dead(self, now: float) -> list[Effect]:
-        """Probes one dead member, or a seed while alone, so that healed cuts are noticed."""
+        """Contacts a dead member, or the seeds if alone, to detect that a partition has healed."""
         dead = sorted(
             member.node_id
             for member in self._members.values()
             if member.state == MemberState.DEAD and not member.leaving
         )
-        alone = len(self.alive()) < 2
-        if alone:
-            table = MembershipTable([self.me], reply_wanted=True)
+        is_alone = len(self.alive()) < 2
+        if is_alone:
+            table = MembershipTable([self.local_member], reply_wanted=True)
             self._next_dead_probe_at = now + constants.PROBE_INTERVAL_S
             return [SendToAddress(seed.host, seed.port, table) for seed in self._seeds]
-        is_representative = self.node_id in self.representatives(self.me.zone)
+        is_representative = self.node_id in self.representatives(self.local_member.zone)
         if not dead or not is_representative:
             return []
         table = MembershipTable(self.members(), reply_wanted=True)
@@ -289,10 +293,10 @@
         if update.node_id == self.node_id:
             return self._merge_self(update)
         known = self._members.get(update.node_id)
-        merged = _newer(known, update)
+        merged = _merge_records(known, update)
         if merged is None:
             return []
-        self._store(merged)
+        self._store_record(merged)
         if merged.state == MemberState.SUSPECT:
             self._suspected_at.setdefault(merged.node_id, now)
         else:
@@ -300,44 +304,52 @@
         return _change_events(known, merged)
 
     def _merge_self(self, update: Member) -> list[Effect]:
-        """Refutes whatever others say of this node that is not so."""
-        if update.incarnation < self.me.incarnation:
+        """Overrides a suspect, dead or newer record of this node by raising its incarnation."""
+        if update.incarnation < self.local_member.incarnation:
             return []
-        if update.incarnation == self.me.incarnation and update.state == MemberState.ALIVE:
+        if (
+            update.incarnation == self.local_member.incarnation
+            and update.state == MemberState.ALIVE
+        ):
             return []
-        self._store(msgspec.structs.replace(self.me, incarnation=update.incarnation + 1))
-        return [Emit(LogEvent.MEMBER_REFUTED, {"incarnation": self.me.incarnation})]
+        self._store_record(
+            msgspec.structs.replace(self.local_member, incarnation=update.incarnation + 1)
+        )
+        return [Emit(LogEvent.MEMBER_REFUTED, {"incarnation": self.local_member.incarnation})]
 
-    def _store(self, member: Member) -> None:
-        if member.node_id == self.me.node_id:
-            self.me = member
+    def _store_record(self, member: Member) -> None:
+        if member.node_id == self.local_member.node_id:
+            self.local_member = member
         before = self._members.get(member.node_id)
         self._members[member.node_id] = member
         self._alive.clear()
-        if before is None or _is_working(before) != _is_working(member):
-            self._working.clear()
-            self.working_version += 1
-        self._gossip_left[member.node_id] = self._retransmissions()
+        if before is None or _is_eligible(before) != _is_eligible(member):
+            self._eligible.clear()
+            self.eligible_version += 1
+        self._transmissions_left[member.node_id] = self._retransmission_limit()
         self._digest = None
 
-    def _retransmissions(self) -> int:
+    def _retransmission_limit(self) -> int:
         return constants.GOSSIP_RETRANSMIT_FACTOR * max(1, len(self._members).bit_length())
 
-    def _gossip(self, about: str | None = None) -> list[Member]:
-        """The updates sent least often; a suspect always hears of its suspicion."""
-        ranked = sorted(self._gossip_left, key=lambda node: -self._gossip_left[node])
+    def _select_gossip(self, about: str | None = None) -> list[Member]:
+        """Selects the updates with the most transmissions left and counts this transmission.
+
+        Includes the record of `about` if it is suspect or dead, so that the member can refute it.
+        """
+        ranked = sorted(self._transmissions_left, key=lambda node: -self._transmissions_left[node])
         chosen = ranked[: constants.GOSSIP_UPDATES_PER_MESSAGE]
         for node_id in chosen:
-            self._gossip_left[node_id] -= 1
-            if self._gossip_left[node_id] <= 0:
-                del self._gossip_left[node_id]
+            self._transmissions_left[node_id] -= 1
+            if self._transmissions_left[node_id] <= 0:
+                del self._transmissions_left[node_id]
         member = self._members.get(about) if about is not None else None
         updates = [self._members[node_id] for node_id in chosen]
         if member is not None and member.state != MemberState.ALIVE and member not in updates:
             updates.append(member)
         return updates
 
-    # Between zones.
+    # Table synchronization.
 
     def _table_digest(self) -> int:
         if self._digest is None:
@@ -346,47 +358,48 @@
         return self._digest
 
     def _sync_with_seed(self, now: float) -> list[Effect]:
-        """Asks a seed for its table, whoever is known already.
+        """Requests a seed's table even if other members are known.
 
-        Nodes that start together can find one another in two islands, each of which is
-        content: nobody in one knows of anybody in the other but by the seeds.
+        Nodes that start together can form two disjoint groups that only seeds can connect.
         """
         self._started_at = self._started_at if self._started_at is not None else now
-        young = now < self._started_at + constants.YOUNG_FOR_S
-        interval_s = constants.SEED_SYNC_YOUNG_S if young else constants.SEED_SYNC_OLD_S
+        starting = now < self._started_at + constants.STARTUP_PERIOD_S
+        interval_s = (
+            constants.STARTUP_SEED_SYNC_INTERVAL_S if starting else constants.SEED_SYNC_INTERVAL_S
+        )
         self._next_seed_sync_at = now + interval_s
-        if not self._seeds or self.node_id not in self.representatives(self.me.zone):
+        if not self._seeds or self.node_id not in self.representatives(self.local_member.zone):
             return []
         seed = self._rng.choice(self._seeds)
-        table = MembershipTable([self.me], reply_wanted=True)
+        table = MembershipTable([self.local_member], reply_wanted=True)
         return [SendToAddress(seed.host, seed.port, table)]
 
     def _sync_with_representative(self) -> list[Effect]:
-        others = [r for r in self.representatives(self.me.zone) if r != self.node_id]
+        others = [r for r in self.representatives(self.local_member.zone) if r != self.node_id]
         if not others:
             return []
         return [Send(self._rng.choice(others), MembershipDigest(self._table_digest()))]
 
     def _sync_zones(self) -> list[Effect]:
-        """A representative compares its table with one of another zone, and one of its own."""
-        if self.node_id not in self.representatives(self.me.zone):
+        """Compares a representative's table with a peer of another zone and one of its own."""
+        if self.node_id not in self.representatives(self.local_member.zone):
             return []
-        others = [zone for zone in self.zones() if zone != self.me.zone]
+        others = [zone for zone in self.zones() if zone != self.local_member.zone]
         targets: list[str] = []
         if others:
             targets += self.representatives(self._rng.choice(others))[:1]
-        peers = [m.node_id for m in self.alive(self.me.zone) if m.node_id != self.node_id]
+        peers = [m.node_id for m in self.alive(self.local_member.zone) if m.node_id != self.node_id]
         if peers:
             targets.append(self._rng.choice(sorted(peers)))
         return [Send(target, MembershipDigest(self._table_digest())) for target in targets]
 
 
-def _is_working(member: Member) -> bool:
+def _is_eligible(member: Member) -> bool:
     return member.state is MemberState.ALIVE and not member.leaving
 
 
-def _newer(known: Member | None, update: Member) -> Member | None:
-    """The record to store after hearing `update`, or None where nothing changes."""
+def _merge_records(known: Member | None, update: Member) -> Member | None:
+    """Returns the record to store after receiving `update`, or None if nothing changes."""
     if known is None or update.incarnation > known.incarnation:
         return update
     if update.incarnation < known.incarnation:
--- a/stileloom/node/__init__.py
+++ b/stileloom/node/__init__.py
@@ -1,4 +1,4 @@
-"""One node: all parts wired together, driven by the daemon or by the simulator."""
+"""Node core: the components of one node, driven by the daemon or the simulator."""
 
 from stileloom.node.core import DeliveryFinished, NodeCore, StatusFinished
 
--- a/stileloom/node/dispatch.py
+++ b/stileloom/node/dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of a node takes which message, and the union that goes over the wire."""
+"""Message groups by receiving component, and the codec of the node protocol."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     configuration.RevisionNotice,
     LeaderHint,
 )
-"""Small messages that may be lost: sent by UDP. All others go by TCP."""
+"""Small, loss-tolerant messages, sent over UDP. All others use TCP."""
 
 Message = (
     membership.Ping
@@ -99,7 +99,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with its sender, as it goes over the wire (msgpack)."""
+    """Wire format of a message with its sender (msgpack)."""
 
     sender: str
     message: Message
@@ -110,20 +110,20 @@
 
 
 class NodeCodec:
-    """Frames of the internal protocol of one node."""
+    """Encodes and decodes frames of the node protocol."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
 
     def encode(self, message: object) -> bytes:
-        """A message in its envelope."""
+        """Encodes a message with this node as the sender."""
         return ENCODER.encode(Envelope(self._node_id, message))  # type: ignore[arg-type]
 
     def decode(self, frame: bytes) -> tuple[str, Message]:
-        """The sender and the message. Raises `msgspec.DecodeError`."""
+        """Returns the sender and the message. Raises `msgspec.DecodeError`."""
         envelope = DECODER.decode(frame)
         return envelope.sender, envelope.message
 
     def fits_datagram(self, message: object) -> bool:
-        """Whether the message may be lost, and so go by UDP."""
+        """Returns whether the message is sent over UDP."""
         return isinstance(message, DATAGRAM_MESSAGES)
--- a/stileloom/node/status.py
+++ b/stileloom/node/status.py
@@ -1,4 +1,4 @@
-"""What the leader says of the whole: rounds, samplers, revisions by zone."""
+"""Builds the leader's cluster status: rounds, samplers and revisions by zone."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     authority: ConfigurationAuthority,
     table: SamplerTable,
 ) -> LeaderStatus:
-    """The leader's part of `stileloom status`."""
+    """Returns the cluster state shown by `stileloom status`."""
     rounds = replica.state.rounds
     return LeaderStatus(
         ticket=ticket,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -39,8 +39,8 @@
 
     def test_a_suspicion_of_oneself_is_refuted(self) -> None:
         self.hear(msgspec.structs.replace(member("me"), state=MemberState.DEAD))
-        self.assertEqual(2, self.table.me.incarnation)
-        self.assertEqual(MemberState.ALIVE, self.table.me.state)
+        self.assertEqual(2, self.table.local_member.incarnation)
+        self.assertEqual(MemberState.ALIVE, self.table.local_member.state)
 
     def test_a_higher_incarnation_wins_and_a_lower_one_is_ignored(self) -> None:
         self.hear(msgspec.structs.replace(member("other"), state=MemberState.DEAD))
