--- a/stileloom/effects.py
+++ b/stileloom/effects.py
@@ -1,8 +1,7 @@
-"""What a part asks its driver to do.
+"""Effects that components return for their driver to execute.
 
-Parts hold no socket, clock or disk. Each call of a part returns a list of effects; the
-daemon carries them out over tornado, the simulator in virtual time. Effects are carried
-out in the order of the list.
+Components perform no I/O and read no clock. Each call returns a list of effects, which the daemon
+executes with tornado and the simulator in virtual time. Effects are executed in list order.
 """
 
 from __future__ import annotations
@@ -15,14 +14,14 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send `message` to the node `to`. May be lost, late or doubled."""
+    """Send `message` to the node `to`; it may be lost, delayed or duplicated."""
 
     to: str
     message: Any
 
 
 class SendToAddress(msgspec.Struct, frozen=True):
-    """Send `message` to a seed whose node id is not known yet."""
+    """Send `message` to a seed whose node id is not yet known."""
 
     host: str
     port: int
@@ -30,11 +29,11 @@
 
 
 class Emit(msgspec.Struct, frozen=True):
-    """Write a numbered log event with its fields."""
+    """Write a log event with its fields."""
 
     event: LogEvent
     fields: dict[str, object] = msgspec.field(default_factory=dict)
 
 
 Effect = Any
-"""One of the structs of this module or of a part's own `effects`."""
+"""A struct of this module or of a component's own `effects` module."""
