--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The parts of configuration distribution, by hand."""
+"""Unit tests of configuration distribution: store, leader authority and reader."""
 
 from __future__ import annotations
 
@@ -12,22 +12,19 @@
 from stileloom.effects import Effect, Send
 
 
-def replies(effects: list[Effect]) -> list[GrantReply]:
-    """The grants among effects."""
+def grant_replies(effects: list[Effect]) -> list[GrantReply]:
     return [e.message for e in effects if isinstance(e, Send) and isinstance(e.message, GrantReply)]
 
 
 class StoreTest(testtools.TestCase):
-    """What a node holds."""
-
-    def test_a_lower_revision_is_refused(self) -> None:
+    def test_lower_revision_is_rejected(self) -> None:
         store = ConfigurationStore()
         self.assertTrue(store.adopt(0.0, Configuration(5)))
         self.assertFalse(store.adopt(0.0, Configuration(4)))
         self.assertFalse(store.adopt(0.0, Configuration(5)))
         self.assertEqual(5, store.revision)
 
-    def test_a_lease_lapses(self) -> None:
+    def test_lease_expires(self) -> None:
         store = ConfigurationStore()
         store.adopt(0.0, Configuration(1))
         store.extend_lease(3.0)
@@ -37,18 +34,16 @@
 
 
 class AuthorityTest(testtools.TestCase):
-    """The leader's side."""
-
-    def test_a_grant_waits_for_the_floor(self) -> None:
+    def test_grant_waits_for_committed_floor(self) -> None:
         authority = ConfigurationAuthority(epoch=1, started_at=0.0)
         request = GrantRequest(nonce=1, zone="a", revision=7, confirmed=0)
         effects = authority.on_request(1.0, "r", request, floor=0)
-        self.assertEqual([], replies(effects))
+        self.assertEqual([], grant_replies(effects))
         self.assertEqual(7, next(e for e in effects if isinstance(e, RaiseFloor)).command.revision)
-        (granted,) = replies(authority.floor_raised(1.1, floor=7))
-        self.assertEqual(7, granted.floor)
+        (grant,) = grant_replies(authority.floor_raised(1.1, floor=7))
+        self.assertEqual(7, grant.floor)
 
-    def test_in_force_takes_every_zone(self) -> None:
+    def test_in_force_is_lowest_revision_of_all_zones(self) -> None:
         authority = ConfigurationAuthority(epoch=1, started_at=-10.0)
         authority.on_request(0.0, "rb", GrantRequest(1, "b", 7, 6), floor=7)
         authority.on_request(0.0, "ra", GrantRequest(1, "a", 7, 7), floor=7)
@@ -56,7 +51,7 @@
         authority.on_request(0.5, "rb", GrantRequest(2, "b", 7, 7), floor=7)
         self.assertEqual(7, authority.in_force)
 
-    def test_a_lapsed_zone_does_not_hold_the_others_up(self) -> None:
+    def test_expired_grant_does_not_hold_back_other_zones(self) -> None:
         authority = ConfigurationAuthority(epoch=1, started_at=-10.0)
         authority.on_request(0.0, "rb", GrantRequest(1, "b", 6, 6), floor=6)
         authority.on_request(1.0, "ra", GrantRequest(1, "a", 7, 7), floor=7)
@@ -65,57 +60,55 @@
         authority.on_request(later, "ra", GrantRequest(2, "a", 7, 7), floor=7)
         self.assertEqual(7, authority.in_force)
 
-    def test_a_new_leader_declares_nothing_while_old_grants_may_last(self) -> None:
+    def test_new_leader_declares_nothing_while_earlier_grants_may_be_valid(self) -> None:
         authority = ConfigurationAuthority(epoch=2, started_at=0.0)
         authority.on_request(1.0, "ra", GrantRequest(1, "a", 7, 7), floor=7)
         self.assertEqual(0, authority.in_force)
 
 
 class ReaderTest(testtools.TestCase):
-    """A reader of a zone."""
-
     def setUp(self) -> None:
         super().setUp()
         self.store = ConfigurationStore()
         self.reader = Reader("r", "a", self.store, now=-10.0)
 
-    def granted(self, now: float, floor: int) -> list[Effect]:
-        """Asks for a grant and receives it at once."""
-        asked = self.reader.tick(now, "leader")
+    def obtain_grant(self, now: float, floor: int) -> list[Effect]:
+        """Sends a grant request and delivers the grant immediately."""
+        sent = self.reader.tick(now, "leader")
         request = next(
-            e.message for e in asked if isinstance(e, Send) and isinstance(e.message, GrantRequest)
+            e.message for e in sent if isinstance(e, Send) and isinstance(e.message, GrantRequest)
         )
         return self.reader.on_grant(
             now, "leader", GrantReply(request.nonce, floor, "other", 0, CONFIGURATION_LEASE_S, 1)
         )
 
-    def test_it_serves_nothing_below_the_floor(self) -> None:
+    def test_reader_below_floor_does_not_serve(self) -> None:
         self.reader.configuration_fetched(0.0, Configuration(4), None)
-        self.granted(0.0, floor=5)
+        self.obtain_grant(0.0, floor=5)
         self.assertFalse(self.reader.serving(0.1))
         self.reader.adopt(0.2, Configuration(5))
         self.assertTrue(self.reader.serving(0.3))
 
-    def test_it_serves_nothing_above_what_a_grant_covers(self) -> None:
+    def test_reader_does_not_adopt_revision_above_grant(self) -> None:
         self.reader.configuration_fetched(0.0, Configuration(4), None)
-        self.granted(0.0, floor=4)
+        self.obtain_grant(0.0, floor=4)
         self.reader.configuration_fetched(0.1, Configuration(6), None)
         self.assertEqual(4, self.store.revision)
 
-    def test_a_starting_node_waits_for_a_newer_grant(self) -> None:
+    def test_starting_node_waits_for_newer_grant(self) -> None:
         self.reader.configuration_fetched(0.0, Configuration(4), None)
-        self.granted(0.0, floor=4)
+        self.obtain_grant(0.0, floor=4)
         starting = RenewRequest(1, 0, 0, starting=True)
         self.assertEqual([], self.reader.on_renew(0.1, "n", starting))
-        effects = self.granted(0.6, floor=4)
+        effects = self.obtain_grant(0.6, floor=4)
         self.assertIn("n", [e.to for e in effects if isinstance(e, Send)])
 
-    def test_it_confirms_what_its_slowest_node_holds(self) -> None:
+    def test_reader_confirms_lowest_revision_of_its_nodes(self) -> None:
         self.reader.configuration_fetched(0.0, Configuration(4), None)
-        self.granted(0.0, floor=4)
+        self.obtain_grant(0.0, floor=4)
         self.reader.on_renew(0.1, "n", RenewRequest(1, 4, 0, starting=False))
         self.reader.configuration_fetched(0.2, Configuration(5), None)
-        self.granted(0.6, floor=5)
+        self.obtain_grant(0.6, floor=5)
         self.assertEqual(5, self.store.revision)
         self.assertEqual(4, self.reader.confirmed(0.7))
         self.reader.on_renew(0.8, "n", RenewRequest(2, 5, 0, starting=False))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership by hand: refutation, leaving, merging."""
+"""Unit tests of the member table: suspicion, refutation, leaving and merging."""
 
 from __future__ import annotations
 
@@ -14,63 +14,59 @@
 
 
 def member(name: str, zone: str = "a", incarnation: int = 1) -> Member:
-    """A member."""
     return Member(name, zone, "r", "127.0.0.1", 1, 1, incarnation)
 
 
 class MembershipTest(testtools.TestCase):
-    """One node's table."""
-
     def setUp(self) -> None:
         super().setUp()
         self.table = Membership(member("me"), [], random.Random(1))
-        self.hear(member("other"))
+        self.receive_gossip(member("other"))
 
-    def hear(self, *members: Member, now: float = 0.0) -> None:
-        """Gossip arrives."""
+    def receive_gossip(self, *members: Member, now: float = 0.0) -> None:
         self.table.handle(now, "other", MembershipTable(list(members), reply_wanted=False))
 
-    def test_a_silent_member_is_suspected_and_then_dead(self) -> None:
+    def test_unresponsive_member_is_declared_dead(self) -> None:
         now = 0.0
         while now < constants.PROBE_INTERVAL_S * 2 + constants.SUSPICION_TIMEOUT_S + 1:
             self.table.tick(now)
             now += 0.1
         self.assertFalse(self.table.is_alive("other"))
 
-    def test_a_suspicion_of_oneself_is_refuted(self) -> None:
-        self.hear(msgspec.structs.replace(member("me"), state=MemberState.DEAD))
+    def test_death_report_about_local_member_is_refuted(self) -> None:
+        self.receive_gossip(msgspec.structs.replace(member("me"), state=MemberState.DEAD))
         self.assertEqual(2, self.table.local_member.incarnation)
         self.assertEqual(MemberState.ALIVE, self.table.local_member.state)
 
-    def test_a_higher_incarnation_wins_and_a_lower_one_is_ignored(self) -> None:
-        self.hear(msgspec.structs.replace(member("other"), state=MemberState.DEAD))
-        self.hear(member("other"))
+    def test_only_higher_incarnation_revives_dead_member(self) -> None:
+        self.receive_gossip(msgspec.structs.replace(member("other"), state=MemberState.DEAD))
+        self.receive_gossip(member("other"))
         self.assertFalse(self.table.is_alive("other"))
-        self.hear(member("other", incarnation=2))
+        self.receive_gossip(member("other", incarnation=2))
         self.assertTrue(self.table.is_alive("other"))
 
-    def test_leaving_sticks_for_an_incarnation(self) -> None:
-        self.hear(msgspec.structs.replace(member("other"), leaving=True))
-        self.hear(member("other"))
+    def test_leaving_is_permanent_within_an_incarnation(self) -> None:
+        self.receive_gossip(msgspec.structs.replace(member("other"), leaving=True))
+        self.receive_gossip(member("other"))
         known = self.table.get("other")
         assert known is not None
         self.assertTrue(known.leaving)
-        self.hear(member("other", incarnation=2))
+        self.receive_gossip(member("other", incarnation=2))
         known = self.table.get("other")
         assert known is not None
         self.assertFalse(known.leaving)
 
-    def test_islands_find_one_another_by_the_seeds(self) -> None:
-        """A node that knows others goes on to ask seeds: they may know a whole other island."""
+    def test_seeds_are_contacted_although_members_are_known(self) -> None:
+        """Guards against groups of nodes that start together and never find one another."""
         table = Membership(member("me"), [Seed("127.0.0.1", 7)], random.Random(1))
         table.handle(0.0, "other", MembershipTable([member("other")], reply_wanted=False))
-        asked = []
+        seed_requests = []
         for tenth in range(100):
             effects = table.tick(tenth / 10)
-            asked += [effect for effect in effects if isinstance(effect, SendToAddress)]
-        self.assertTrue(asked)
+            seed_requests += [effect for effect in effects if isinstance(effect, SendToAddress)]
+        self.assertTrue(seed_requests)
 
-    def test_a_probe_is_answered(self) -> None:
+    def test_probe_is_acknowledged(self) -> None:
         (reply,) = self.table.handle(0.0, "other", Ping(7, []))
         assert isinstance(reply, Send)
         self.assertEqual("other", reply.to)
