--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -1,4 +1,4 @@
-"""Small clusters in virtual time for the tests."""
+"""Small simulated clusters for tests, in virtual time."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def small_plan() -> ClusterPlan:
-    """Three zones of two nodes, three rollout samplers, three lookup samplers."""
+    """Returns a plan of three zones with two nodes, one rollout and one lookup sampler each."""
     return ClusterPlan(
         zones=ZONES,
         nodes_per_zone=2,
@@ -69,7 +69,7 @@
 
 
 def start_cluster(seed: int = 1, lookups_per_s: float = 4.0, **changes: object) -> Cluster:
-    """A cluster that is warm and at work."""
+    """Starts a cluster, runs it for `WARM_UP_S`, then starts its trainer and lookup callers."""
     cluster = Cluster(msgspec.structs.replace(small_plan(), **changes), seed)
     cluster.run_for(WARM_UP_S)
     cluster.trainer.start()
@@ -79,12 +79,12 @@
 
 
 def round_spec(staleness_bound: int) -> dict[str, object]:
-    """The round with another bound."""
+    """Returns the specification of the round with the given staleness bound."""
     return {**OBJECTS["round"][ROUND], "staleness_bound": staleness_bound}
 
 
 def service_spec(queue_limit: int) -> dict[str, object]:
-    """The lookup service with another queue."""
+    """Returns the specification of the lookup service with the given queue limit."""
     return {**OBJECTS["service"]["charts"], "queue_limit": queue_limit}
 
 
--- a/tests/configuration_spec.py
+++ b/tests/configuration_spec.py
@@ -1,21 +1,22 @@
-"""A small specification of configuration in force.
-
-One leader with a floor in the ledger, two readers, and one node that may renew with either.
-Time is abstract: a lease is a flag that may lapse at any step. Actions are named after the
-code's messages:
-
-    Write            an operator stores the next revision
-    Fetch            a reader's watch brings the stored revision
-    GrantRequest     a reader asks; the leader first commits the floor, then grants
-    Renew            a node takes its reader's revision and a lease under it
-    Lapse            a node's lease lapses (a reader's grant with it, where no node has one)
-    RestartNode      a node forgets its revision; it is served under a newer grant only
-    RestartReader    a reader forgets everything
-    NewLeader        the leader's memory is gone; the floor is in the ledger
-    InForce          the leader declares the lowest revision that all grants confirmed
+"""Model of the configuration protocol for exhaustive checking.
+
+One leader with a floor in the ledger, two readers, and one node that can renew with either.
+Time is abstract: a lease is a flag that can be cleared at any step. Actions:
+
+    Write              an operator stores the next revision
+    Fetch              a reader's watch returns the stored revision
+    GrantRequest       a reader requests a grant; the leader commits the floor, then grants
+    Renew              the node adopts a reader's revision and obtains a lease
+    Lapse              the node's lease from a reader expires
+    LapseGrant         a reader's grant expires once the node has no lease from it
+    RestartNode        the node loses its revision; it is then served only under a newer grant
+    RestartReader      a reader loses its state
+    NewLeader          the leader's in-memory state is lost; the floor remains in the ledger
+    EarlierGrantsEnd   the leader has replaced or outlived all grants of earlier leaders
+    InForce            the leader declares the lowest revision confirmed by all grants
 
 Invariants: the node never acts under a lease below a revision that was in force, and is never
-served less than it was served before, also in a life before a restart.
+served an older revision than before, including before a restart.
 """
 
 from __future__ import annotations
@@ -30,40 +31,41 @@
 
 
 class Spec(NamedTuple):
-    """One state. Tuples are indexed by reader."""
+    """State of the model. Tuples are indexed by reader."""
 
     stored: int
     floor: int
     fetched: tuple[int, ...]
     serving: tuple[int, ...]
-    """The revision that a reader hands out."""
+    """Revision served by each reader."""
     grant: tuple[bool, ...]
-    known: tuple[int, ...]
-    """What the leader believes confirmed under each grant it gave; -1: no grant known."""
-    blind: bool
-    """Grants of an earlier leader may still last."""
+    confirmed: tuple[int, ...]
+    """Revision confirmed under each grant, as known to the leader; -1 if it knows no grant."""
+    earlier_grants: bool
+    """Whether grants of an earlier leader may still be valid."""
     node: int
-    """The node's revision, 0 for none."""
+    """Revision of the node, or 0 if none."""
     leases: tuple[bool, ...]
-    """By reader, whether the node has a lease from it."""
+    """Whether the node has a lease from each reader."""
     starting: tuple[bool, ...]
-    """By reader, whether it must renew its grant before it serves the node.
+    """Whether each reader must renew its grant before it serves the node.
 
-    The node asks every reader in the model; it is enough that one answered under a new grant.
+    In the model the node asks every reader; one answer under a new grant suffices.
     """
     in_force: int
     served: int
-    """The highest revision that the node was ever served."""
+    """Highest revision ever served to the node."""
     reverted: bool
+    """Whether the node was ever served an older revision than before."""
 
 
 def make_configuration_protocol(
     max_revision: int = 2, commit_floor: bool = True, wait_for_new_grant: bool = True
 ) -> Protocol:
-    """The protocol, or one of two mutations that the checker must refute.
+    """Returns the protocol, or a faulty variant that the checker must refute.
 
-    Without `commit_floor` a grant does not raise the floor; without `wait_for_new_grant`
-    a starting node is served under whatever grant its reader has.
+    Without `commit_floor` a grant does not raise the floor; without `wait_for_new_grant` a
+    starting node is served under the reader's current grant.
     """
     initial = Spec(
         stored=1,
@@ -71,8 +73,8 @@
         fetched=(0,) * READERS,
         serving=(0,) * READERS,
         grant=(False,) * READERS,
-        known=(-1,) * READERS,
-        blind=False,
+        confirmed=(-1,) * READERS,
+        earlier_grants=False,
         node=0,
         leases=(False,) * READERS,
         starting=(True,) * READERS,
@@ -99,7 +101,7 @@
         found.append((f"Fetch({reader})", fetched))
         held = max(state.fetched[reader], state.serving[reader])
         floor = max(state.floor, held) if commit_floor else state.floor
-        # A reader below the floor pulls the floor's revision before it serves.
+        # A reader below the floor pulls the floor revision before it serves.
         serving = max(held, floor)
         if serving:
             lowest = state.node if state.leases[reader] else serving
@@ -107,23 +109,23 @@
                 floor=floor,
                 grant=put(state.grant, reader, True),
                 serving=put(state.serving, reader, serving),
-                known=put(state.known, reader, min(lowest, serving)),
+                confirmed=put(state.confirmed, reader, min(lowest, serving)),
                 starting=put(state.starting, reader, False),
             )
             found.append((f"GrantRequest({reader})", granted))
         if not state.leases[reader]:
-            gone = state._replace(
+            restarted = state._replace(
                 fetched=put(state.fetched, reader, 0),
                 serving=put(state.serving, reader, 0),
                 grant=put(state.grant, reader, False),
             )
-            found.append((f"RestartReader({reader})", gone))
+            found.append((f"RestartReader({reader})", restarted))
         return found
 
     def renewals(state: Spec, reader: int) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
         waits = state.starting[reader] and wait_for_new_grant
-        # A reader below the node's revision gives it no lease.
+        # A reader with an older revision than the node's does not issue it a lease.
         if state.grant[reader] and not waits and state.serving[reader] >= state.node:
             revision = state.serving[reader]
             renewed = state._replace(
@@ -138,15 +140,15 @@
             lapsed = state._replace(leases=put(state.leases, reader, False))
             found.append((f"Lapse({reader})", lapsed))
         elif state.grant[reader]:
-            # A grant ends after the last lease under it.
+            # A grant expires only after the last lease issued under it.
             ended = state._replace(
-                grant=put(state.grant, reader, False), known=put(state.known, reader, -1)
+                grant=put(state.grant, reader, False), confirmed=put(state.confirmed, reader, -1)
             )
             found.append((f"LapseGrant({reader})", ended))
         return found
 
     def restarts(state: Spec) -> list[tuple[str, Spec]]:
-        """The node forgets; what readers and leader believe of its leases stays."""
+        """Restarts the node; readers and leader retain their records of its leases."""
         if not state.node:
             return []
         restarted = state._replace(node=0, leases=(False,) * READERS, starting=(True,) * READERS)
@@ -154,13 +156,15 @@
 
     def leader_actions(state: Spec) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
-        forgot = state._replace(known=(-1,) * READERS, blind=True)
-        found.append(("NewLeader", forgot))
-        unknown = any(state.grant[reader] and state.known[reader] < 0 for reader in range(READERS))
-        if state.blind and not unknown:
-            found.append(("SeesAll", state._replace(blind=False)))
-        confirmed = [value for value in state.known if value >= 0]
-        if not state.blind and confirmed:
+        replaced = state._replace(confirmed=(-1,) * READERS, earlier_grants=True)
+        found.append(("NewLeader", replaced))
+        unknown = any(
+            state.grant[reader] and state.confirmed[reader] < 0 for reader in range(READERS)
+        )
+        if state.earlier_grants and not unknown:
+            found.append(("EarlierGrantsEnd", state._replace(earlier_grants=False)))
+        confirmed = [value for value in state.confirmed if value >= 0]
+        if not state.earlier_grants and confirmed:
             declared = max(state.in_force, min(confirmed))
             found.append(("InForce", state._replace(in_force=declared)))
         return found
@@ -172,9 +176,9 @@
         initial=tuple(initial),
         transitions=transitions,
         invariants={
-            "nobody_acts_below_in_force": lambda state: (
+            "node_never_acts_below_in_force": lambda state: (
                 not any(state["leases"]) or state["node"] >= state["in_force"]
             ),
-            "nobody_is_served_less_than_before": lambda state: not state["reverted"],
+            "node_is_never_served_an_older_revision": lambda state: not state["reverted"],
         },
     )
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -1,8 +1,7 @@
-"""Open connections that go silent for good, without a reset, while new ones work.
+"""Established connections that stop responding without a reset, while new ones work.
 
-Each kind of connection has a bound of its own after which it is given up; what is asked next goes
-over a new one. The proxy between both ends keeps every TCP connection alive, so neither keep-alive
-probes nor unacknowledged bytes show the silence here: only the time-outs of calls do.
+The proxy keeps its TCP connections open and acknowledges all bytes, so only call time-outs can
+detect the failure. The next call must use a new connection.
 """
 
 from __future__ import annotations
@@ -22,43 +21,41 @@
 
 HOST = "127.0.0.1"
 CALL = EndJobCall("j")
-TIMEOUT_S = 0.3
-"""For calls that nobody answers."""
-PATIENT_S = 30.0
-"""For calls that are answered."""
+UNANSWERED_CALL_TIMEOUT_S = 0.3
+ANSWERED_CALL_TIMEOUT_S = 30.0
 DEADLINE_MS = "20000"
 
 
-async def answered(request: Request) -> Reply:
-    """A ledger node that answers at once."""
+async def handle_call(request: Request) -> Reply:
+    """Handles a call like a ledger node that responds immediately."""
     return JobEnded()
 
 
-async def answer_http(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A sampler, or the store, that answers every request."""
+async def serve_http(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serves HTTP like a sampler or object store that answers every request."""
     while await reader.readuntil(b"\r\n\r\n"):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
 
-class SilentConnectionTest(testtools.TestCase):
-    """Calls over a connection that was good before."""
+class UnresponsiveConnectionTest(testtools.TestCase):
+    """Calls over a connection that worked before."""
 
-    def test_a_call_to_a_ledger_node_fails_in_its_time_and_the_next_one_is_answered(self) -> None:
+    def test_ledger_call_times_out_and_next_call_succeeds(self) -> None:
         async def run() -> tuple[bool, Reply]:
-            server = CallServer(answered)
+            server = CallServer(handle_call)
             port = free_port()
             await server.start(HOST, port)
             proxy = TcpProxy(Link(), (HOST, port))
             address = (HOST, await proxy.start(HOST))
             connections = CallConnections()
-            await connections.call(address, CALL, PATIENT_S)
+            await connections.call(address, CALL, ANSWERED_CALL_TIMEOUT_S)
             proxy.silence_open()
             sent = False
             try:
-                await connections.call(address, CALL, TIMEOUT_S)
+                await connections.call(address, CALL, UNANSWERED_CALL_TIMEOUT_S)
             except CallFailed as failure:
                 sent = failure.sent
-            reply = await connections.call(address, CALL, PATIENT_S)
+            reply = await connections.call(address, CALL, ANSWERED_CALL_TIMEOUT_S)
             connections.close()
             proxy.stop()
             server.stop()
@@ -66,16 +63,20 @@
 
         self.assertEqual((True, JobEnded()), asyncio.run(run()))
 
-    def test_a_call_over_http_fails_in_its_time_and_the_next_one_is_answered(self) -> None:
-        """The store and the samplers' reports and orders are asked so."""
+    def test_http_call_times_out_and_next_call_succeeds(self) -> None:
+        """Covers the client used for the object store and for sampler reports and orders."""
 
         async def run() -> list[int | None]:
-            server = await asyncio.start_server(answer_http, HOST, 0)
+            server = await asyncio.start_server(serve_http, HOST, 0)
             proxy = TcpProxy(Link(), server.sockets[0].getsockname()[:2])
             address = (HOST, await proxy.start(HOST))
             pool = ConnectionPool()
             statuses: list[int | None] = []
-            for timeout_s in (PATIENT_S, TIMEOUT_S, PATIENT_S):
+            for timeout_s in (
+                ANSWERED_CALL_TIMEOUT_S,
+                UNANSWERED_CALL_TIMEOUT_S,
+                ANSWERED_CALL_TIMEOUT_S,
+            ):
                 answer = await call_sampler(pool, "s", address, "GET", "/", [], b"", timeout_s)
                 statuses.append(answer.head.status if answer is not None else None)
                 if len(statuses) == 1:
@@ -88,10 +89,10 @@
         self.assertEqual([200, None, 200], asyncio.run(run()))
 
 
-class SilentSamplerLinkTest(testtools.TestCase):
-    """Kept connections of a gateway to its samplers."""
+class UnresponsiveSamplerConnectionTest(testtools.TestCase):
+    """Keep-alive connections from a gateway to its samplers."""
 
-    def test_a_lookup_over_a_silent_connection_is_answered_by_another_sampler(self) -> None:
+    def test_lookup_over_unresponsive_connection_is_answered_by_another_sampler(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             proxies = [await cluster.put_proxy_before(name) for name in ("chart-1", "chart-2")]
             for number in range(4):
@@ -107,7 +108,7 @@
 
         with_cluster(scenario)
 
-    def test_items_of_a_job_go_on_elsewhere(self) -> None:
+    def test_job_items_complete_after_connections_stop_responding(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             proxies = [await cluster.put_proxy_before(name) for name in ("draft-1", "draft-2")]
             await cluster.submit("first", [f"a{number}" for number in range(8)])
