--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         seeds: list[Seed],
         rng: random.Random,
         now: float,
@@ -118,15 +118,15 @@
         without: frozenset[Mechanism] = frozenset(),
     ) -> None:
         """`without` disables mechanisms of the default scheduler, for benchmarks."""
-        self.node_id = me.node_id
-        self.zone = me.zone
-        self.membership = Membership(me, seeds, rng)
-        self.configuration = ConfigurationNode(me.node_id, me.zone)
+        self.node_id = local_member.node_id
+        self.zone = local_member.zone
+        self.membership = Membership(local_member, seeds, rng)
+        self.configuration = ConfigurationNode(local_member.node_id, local_member.zone)
         self.replica = replica
         self.tracker = LeaderTracker(self._voter_ids)
         self.client = LedgerClient(self.tracker, first_ticket=rng.randrange(1 << 40))
-        self.gateway = Gateway(me.node_id, me.zone, rng, now)
-        self.owner = SamplerOwner(me.node_id)
+        self.gateway = Gateway(local_member.node_id, local_member.zone, rng, now)
+        self.owner = SamplerOwner(local_member.node_id)
         self.table = SamplerTable()
         self.ownership = Ownership(self.membership, self.table)
         self.controller: Controller | None = None
