--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -86,13 +86,13 @@
         """The leader's answer; `request_id` is the caller's, empty for a call of the node's own.
 
         Raises `StileloomError` (LEDGER_UNAVAILABLE): outcome NOT_RUN where no node can have
-        carried the call out, UNKNOWN otherwise.
+        reused the call out, UNKNOWN otherwise.
         """
-        give_up_at = steady_time() + timeout_s
+        deadline = steady_time() + timeout_s
         may_have_run = False
         tries = 0
         while True:
-            left_s = give_up_at - steady_time()
+            left_s = deadline - steady_time()
             if left_s <= 0:
                 break
             target = self._nodes.next_target()
@@ -111,7 +111,7 @@
                 except CallFailed as failure:
                     may_have_run |= failure.sent
                     self._note_silent(target, request_id, str(failure))
-            await asyncio.sleep(min(RETRY_PAUSE_S, max(0.0, give_up_at - steady_time())))
+            await asyncio.sleep(min(RETRY_PAUSE_S, max(0.0, deadline - steady_time())))
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
         detail = f"no leader answered in {tries} tries"
         raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, detail, outcome, RETRY_AFTER_S)
--- a/stileloom/jobs/engine_control.py
+++ b/stileloom/jobs/engine_control.py
@@ -27,7 +27,7 @@
     GONE = "gone"
     """Another sampler has the address."""
     UNKNOWN = "unknown"
-    """No answer: it may be carried out, even seconds later."""
+    """No answer: it may be reused out, even seconds later."""
 
 
 _OUTCOMES = {
--- a/stileloom/jobs/model_versions.py
+++ b/stileloom/jobs/model_versions.py
@@ -1,7 +1,7 @@
-"""Which samplers serve which model, and which version each is believed to have.
+"""Assignment of samplers to models, and the last known weight versions of each sampler.
 
-A version only rises in one incarnation of a sampler, so the newest sign wins: the directory's
-listing, an answer, or a report.
+Versions never decrease within one incarnation of a sampler, so the highest version from the
+directory, an answer or a report is the current one.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 
 class SamplerModels(msgspec.Struct):
-    """Beliefs on one sampler."""
+    """Last known model versions of one sampler."""
 
     versions: dict[str, int] = msgspec.field(default_factory=dict)
     loading: str | None = None
-    """The model that it loads now."""
+    """The model that is being loaded, if any."""
 
     def saw(self, model: str, version: int) -> None:
-        """A sign of the version that the sampler has."""
+        """Records an observed version."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
 
-def share_samplers(
+def assign_samplers(
     sampler_ids: list[str], demand: dict[str, float], current: dict[str, str]
 ) -> dict[str, str]:
-    """Gives each sampler one model, in proportion to the demand, moving as few as possible.
+    """Assigns each sampler one model in proportion to demand, with few changes to `current`.
 
-    Every model gets one where there are enough. Returns the model by sampler id; empty where
-    there are fewer samplers than models: then each sampler serves all.
+    Every model gets at least one sampler. Returns the model by sampler id, or an empty mapping
+    if there are fewer samplers than models; then every sampler serves all models.
     """
     models = sorted(demand)
     if not models or len(sampler_ids) < len(models):
@@ -39,17 +39,17 @@
     by_remainder = sorted(models, key=lambda model: (int(exact[model]) - exact[model], model))
     for model in by_remainder[: len(sampler_ids) - sum(counts.values())]:
         counts[model] += 1
-    shares: dict[str, str] = {}
-    homeless: list[str] = []
+    assignment: dict[str, str] = {}
+    unassigned: list[str] = []
     for sampler_id in sorted(sampler_ids):
-        held = current.get(sampler_id)
-        if held is not None and counts.get(held, 0) > 0:
-            counts[held] -= 1
-            shares[sampler_id] = held
+        current_model = current.get(sampler_id)
+        if current_model is not None and counts.get(current_model, 0) > 0:
+            counts[current_model] -= 1
+            assignment[sampler_id] = current_model
         else:
-            homeless.append(sampler_id)
-    for sampler_id in homeless:
+            unassigned.append(sampler_id)
+    for sampler_id in unassigned:
         model = max(models, key=lambda name: counts[name])
         counts[model] -= 1
-        shares[sampler_id] = model
-    return shares
+        assignment[sampler_id] = model
+    return assignment
--- a/stileloom/jobs/open_items.py
+++ b/stileloom/jobs/open_items.py
@@ -1,4 +1,4 @@
-"""Items without a listed result, their runs, and the pace of samplers: what the scheduler knows."""
+"""State of the scheduler: items without a listed result, their runs, and sampler statistics."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 from stileloom.jobs.partial_text import PartialText
 
 ItemKey = tuple[str, str]
-"""Job id and item id: a later job may carry an item again under the same id."""
+"""Job id and item id; a later job may reuse an item under the same item id."""
 
 DEFAULT_EXPECTED_TOKENS = 1000.0
 DEFAULT_TOKENS_PER_EVENT = 1.0
-"""Where a service does not tell how many tokens its events carry."""
-HELD_SHARE = 0.4
-"""Of its expected output a run holds about half on average, and groups share their prompts; a
-sampler that runs out preempts the newest run, which costs less than a slot that stays empty."""
-FIRST_INTERVAL_S = 0.045
+"""Used if the service does not configure the number of tokens per event."""
+EXPECTED_OUTPUT_SHARE = 0.4
+"""Fraction of the expected output that is reserved in the sampler's cache for a run.
+
+Less than one because a preempted run costs less than an unused slot."""
+INITIAL_INTERVAL_S = 0.045
 
 
 class ItemSize(msgspec.Struct, frozen=True):
-    """What an item is expected to take, in tokens."""
+    """Estimated size of an item in tokens."""
 
     expected_tokens: float = DEFAULT_EXPECTED_TOKENS
     prompt_tokens: float = 0.0
@@ -41,31 +42,31 @@
     prompt_tokens: float
     tokens_per_event: float
     adopted_at: float
-    give_up_at: float
-    carried: bool = False
+    deadline: float
+    reused: bool = False
     partial: PartialText = msgspec.field(default_factory=PartialText)
     failures: int = 0
     rejections: int = 0
     not_before: float = 0.0
     run: ItemRun | None = None
     finished: bool = False
-    """Its result is on the way to the ledger."""
-    avoid: str = ""
-    """The sampler that its last run was taken from: any other one comes first."""
-    began: bool = False
-    """Whether it ever ran under this leader."""
+    """Whether its result was submitted to the ledger."""
+    avoid_sampler_id: str = ""
+    """Sampler of its last failed or moved run; any other sampler is preferred."""
+    has_run: bool = False
+    """Whether a run was started by this leader."""
     saved_parts: int = 0
-    """Events that the ledger holds, or that are on their way there."""
+    """Number of events that are saved in the ledger or submitted to it."""
 
     @property
-    def tokens_held(self) -> float:
-        """Tokens that a sampler holds for it, now or by what is expected."""
-        made = len(self.partial.parts) * self.tokens_per_event
-        return self.prompt_tokens + max(self.expected_tokens * HELD_SHARE, made)
+    def estimated_tokens(self) -> float:
+        """Estimates the tokens that a run of the item occupies in a sampler's cache."""
+        generated = len(self.partial.parts) * self.tokens_per_event
+        return self.prompt_tokens + max(self.expected_tokens * EXPECTED_OUTPUT_SHARE, generated)
 
 
 class ItemRun(msgspec.Struct):
-    """An item that runs at a sampler."""
+    """A run of an item on a sampler."""
 
     sampler_id: str
     started_at: float
@@ -75,21 +76,21 @@
 
 
 class StartRun(msgspec.Struct, frozen=True):
-    """Start an item at a sampler, from where its text ends."""
+    """A planned run that resumes the item after its last event."""
 
     item: OpenItem
     sampler_id: str
     run: ItemRun
-    """The run that was planned: the item may have another one by the time it begins."""
+    """The planned run; the item may have another one by the time the request is sent."""
 
 
-class SamplerPace(msgspec.Struct):
-    """How fast a sampler makes events, and what runs there."""
+class SamplerStats(msgspec.Struct):
+    """Event interval and current runs of a sampler."""
 
-    interval_s: float = FIRST_INTERVAL_S
+    interval_s: float = INITIAL_INTERVAL_S
     measured: bool = False
     running: int = 0
     tokens: float = 0.0
-    """Tokens that its runs are expected to hold."""
+    """Estimated cache tokens of its runs."""
     refused_until: float = 0.0
     groups: set[str] = msgspec.field(default_factory=set)
--- a/stileloom/jobs/result_writer.py
+++ b/stileloom/jobs/result_writer.py
@@ -99,7 +99,7 @@
         except StileloomError:
             return
         for result in results:
-            self._scheduler.listed((job_id, result.item_id))
+            self._scheduler.remove_listed((job_id, result.item_id))
         self._metrics.results_listed.inc(len(results))
         record = self._book.jobs.get(job_id)
         self._log.emit(
@@ -116,7 +116,7 @@
 
     def save_progress(self) -> None:
         """Events of long items go to the ledger: a new leader goes on from there."""
-        self._save_events(self._scheduler.unsaved())
+        self._save_events(self._scheduler.items_to_save())
 
     def _save_events(self, open_items: list[OpenItem]) -> None:
         by_job: dict[str, list[ItemProgress]] = {}
@@ -147,7 +147,7 @@
 
     def record_intervals(self) -> None:
         """Saves how fast samplers are, where that has changed."""
-        intervals = self._scheduler.intervals()
+        intervals = self._scheduler.measured_intervals()
         if _differ(intervals, self._book.interval_s):
             self._tasks.spawn(self._record_intervals(intervals))
 
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -166,7 +166,7 @@
         """One try, within the route's attempts and time; the call may run more than once."""
         call = pending.call
         now = steady_time()
-        left_s = max(RETRY_S, min(route.timeout_s, pending.item.give_up_at - now))
+        left_s = max(RETRY_S, min(route.timeout_s, pending.item.deadline - now))
         headers = [("Host", call.host), (self._names.request_id, call.request_id)]
         lookup = Lookup(call.request_id, "POST", call.path, headers, call.body, now, now + left_s)
         repeatable = msgspec.structs.replace(route, kind=RouteKind.SAFE)
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -175,7 +175,7 @@
             return
         now = steady_time()
         self._follow_book(now)
-        for open_item in self.scheduler.silent_runs(now):
+        for open_item in self.scheduler.unresponsive_runs(now):
             self._stop_run(open_item, "silent", avoid=True)
             open_item.not_before = 0.0
         self._move_slow_runs(now)
@@ -255,7 +255,7 @@
             if ended is None or not ended.is_open:
                 self._drop(job_id)
         for open_item in list(self.scheduler.items.values()):
-            if now >= open_item.give_up_at and not open_item.finished:
+            if now >= open_item.deadline and not open_item.finished:
                 self._finish(open_item, ItemState.GIVEN_UP, "out of time")
 
     def _adopt(self, record: JobRecord, now: float) -> None:
@@ -358,10 +358,10 @@
         )
         self._connections[open_item.key] = connection
         self._metrics.runs_started.inc()
-        if not open_item.began:
-            open_item.began = True
+        if not open_item.has_run:
+            open_item.has_run = True
             self._metrics.queue_wait.observe(steady_time() - open_item.adopted_at)
-        left_s = open_item.give_up_at - steady_time()
+        left_s = open_item.deadline - steady_time()
         request = encode_item_request(
             open_item, self._host_of(open_item), entry.sampler_id, left_s, self._dialect.names
         )
@@ -373,7 +373,7 @@
         now = steady_time()
         metric = self._metrics.event_gap if run.events else self._metrics.first_event
         metric.observe(now - run.last_event_at)
-        self.scheduler.event(open_item, now)
+        self.scheduler.record_event(open_item, now)
 
     def _host_of(self, open_item: OpenItem) -> str:
         record = self._book.jobs.get(open_item.key[0])
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -126,9 +126,9 @@
 
     async def _read_results(self, request: ReadResultsCall) -> JobReply:
         job = self._job(request.job_id)
-        give_up_at = steady_time() + request.wait_s
+        deadline = steady_time() + request.wait_s
         while job is not None and len(job.results) <= request.position and not job.ended:
-            left_s = give_up_at - steady_time()
+            left_s = deadline - steady_time()
             if left_s <= 0 or self.runner is None:
                 break
             try:
--- a/stileloom/jobs/version_planner.py
+++ b/stileloom/jobs/version_planner.py
@@ -1,9 +1,9 @@
-"""Decides which sampler loads which weight version next. No I/O, no clock.
+"""Decides which sampler loads which weight version next. Performs no I/O and reads no clock.
 
-A load makes a sampler useless for a moment, so it waits until its runs are done or have room
-elsewhere: a step may run on the version before. Work that needs the newer version makes the
-load due at once. Only a part of a service's samplers load together (`loads_at_once`); more
-would slow all of them and leave too few to work.
+A sampler cannot generate while it loads, so a load waits until its runs have ended or can be
+moved; items of a step may still run on the previous version. A load is due immediately if
+waiting items require the newer version. `loads_at_once` limits how many samplers of a service
+load concurrently, since they share bandwidth and the others have to continue the work.
 """
 
 from __future__ import annotations
@@ -16,60 +16,60 @@
 from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
 from stileloom.switches import ALL_ON, Switches
 
-LOADING_SHARE = 0.4
-"""Of a service's samplers so many load at the same time: weights come over shared links."""
-MIN_LOADS_AT_ONCE = 2
+MAX_LOADING_SHARE = 0.4
+"""Maximum fraction of a service's samplers that load concurrently."""
+MIN_CONCURRENT_LOADS = 2
 SETTLE_S = 0.4
-"""After a version was named the step that goes with it is given time to arrive and start."""
-EVACUATE_SHARE = 0.4
-"""A sampler with at most this share of its slots in use hands its runs over and loads."""
+"""Delay after a version is announced, for the items of its step to arrive and start."""
+MAX_EVACUATED_SLOT_SHARE = 0.4
+"""Maximum fraction of slots in use at which a sampler's runs are moved to allow a load."""
 
 
 def loads_at_once(samplers: int) -> int:
-    """How many of a service's samplers may load at the same time."""
-    return max(MIN_LOADS_AT_ONCE, int(samplers * LOADING_SHARE))
+    """Returns how many of a service's samplers may load concurrently."""
+    return max(MIN_CONCURRENT_LOADS, int(samplers * MAX_LOADING_SHARE))
 
 
 class Load(msgspec.Struct, frozen=True):
-    """Load a version at a sampler."""
+    """A planned load of a version on a sampler."""
 
     sampler_id: str
     model: str
     version: int
     strategy: LoadStrategy
     evacuate: list[OpenItem] = msgspec.field(default_factory=list)
-    """Runs that go on at other samplers first."""
+    """Runs to move to other samplers before the load."""
 
 
 class VersionPlanner:
-    """Targets by model, and what is loaded next."""
+    """Tracks the target version of each model and plans loads."""
 
     def __init__(
         self, scheduler: ItemScheduler, samplers: SamplerTable, switches: Switches = ALL_ON
     ) -> None:
         self._switches = switches
         self.targets: dict[str, int] = {}
-        self._named_at: dict[str, float] = {}
+        self._announced_at: dict[str, float] = {}
         self._scheduler = scheduler
         self._samplers = samplers
         self._not_before: dict[str, float] = {}
 
     def named(self, model: str, version: int, now: float) -> bool:
-        """A trainer has named a version; True where it is new."""
+        """Sets a version announced by a trainer as the target; returns whether it is newer."""
         if version <= self.targets.get(model, 0):
             return False
         self.targets[model] = version
-        self._named_at[model] = now
+        self._announced_at[model] = now
         return True
 
     def postpone(self, sampler_id: str, until: float) -> None:
-        """No order to this sampler before then."""
+        """Plans no load for this sampler before `until`."""
         self._not_before[sampler_id] = until
 
     def plan(
         self, now: float, service: str, models: list[str], single_version: set[str]
     ) -> list[Load]:
-        """Loads to order now; their samplers count as loading from here on."""
+        """Selects loads to order now and marks their samplers as loading."""
         beliefs = self._samplers.of_service(service)
         loading = sum(
             1
@@ -81,30 +81,32 @@
             candidates += self._candidates(now, service, model, model in single_version)
         candidates.sort(key=lambda row: (row[0], row[1], row[2].sampler_id))
         chosen: list[Load] = []
-        places_taken = 0
+        reserved_slots = 0
         for _, _, load in candidates:
-            if loading + len(chosen) >= self._most_loads(len(beliefs)):
+            if loading + len(chosen) >= self._max_loads(len(beliefs)):
                 break
-            # Each load looked for room by itself; together they may need more than there is.
-            if load.evacuate and not self._has_room(load, now, places_taken):
+            # Candidates were checked independently; together they may need more slots than free.
+            if load.evacuate and not self._has_free_slots(load, now, reserved_slots):
                 continue
             self._scheduler.models_of(load.sampler_id).loading = load.model
-            places_taken += len(load.evacuate)
+            reserved_slots += len(load.evacuate)
             chosen.append(load)
         return chosen
 
-    def _most_loads(self, samplers: int) -> int:
+    def _max_loads(self, samplers: int) -> int:
         return loads_at_once(samplers) if self._switches.parallel_loads else 1
 
-    def _has_room(self, load: Load, now: float, places_taken: int) -> bool:
-        evacuees = self._scheduler.evacuees(load.sampler_id, load.model, now, places_taken)
-        return evacuees is not None
+    def _has_free_slots(self, load: Load, now: float, reserved_slots: int) -> bool:
+        runs_to_evacuate = self._scheduler.runs_to_evacuate(
+            load.sampler_id, load.model, now, reserved_slots
+        )
+        return runs_to_evacuate is not None
 
     def _candidates(
         self, now: float, service: str, model: str, single_version: bool
     ) -> list[tuple[int, int, Load]]:
         target = self.targets.get(model, 0)
-        waiting = self._scheduler.waiting(model)
+        waiting = self._scheduler.waiting_items(model)
         needed = max((item.min_version for item in waiting), default=0)
         rows: list[tuple[int, int, Load]] = []
         for belief in self._samplers.of_service(service):
@@ -133,18 +135,21 @@
         model: str,
         target: int,
         needed: bool,
-        work_waits: bool,
+        has_waiting_items: bool,
     ) -> Load | None:
-        """The load of a sampler, or None where it has to wait."""
+        """Returns the load of a sampler, or None if it has to wait."""
         sampler_id = belief.entry.sampler_id
-        evacuees = self._scheduler.evacuees(sampler_id, model, now)
-        if evacuees and not self._switches.evacuation:
-            evacuees = None
+        runs_to_evacuate = self._scheduler.runs_to_evacuate(sampler_id, model, now)
+        if runs_to_evacuate and not self._switches.evacuation:
+            runs_to_evacuate = None
         if not needed:
-            if work_waits or now - self._named_at.get(model, now) < SETTLE_S:
+            if has_waiting_items or now - self._announced_at.get(model, now) < SETTLE_S:
                 return None
-            if evacuees is None or len(evacuees) > belief.entry.slots * EVACUATE_SHARE:
+            if (
+                runs_to_evacuate is None
+                or len(runs_to_evacuate) > belief.entry.slots * MAX_EVACUATED_SLOT_SHARE
+            ):
                 return None
-        if evacuees is not None:
-            return Load(sampler_id, model, target, LoadStrategy.WAIT, evacuees)
+        if runs_to_evacuate is not None:
+            return Load(sampler_id, model, target, LoadStrategy.WAIT, runs_to_evacuate)
         return Load(sampler_id, model, target, LoadStrategy.RETAIN)
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -121,9 +121,9 @@
 
     async def _await_version(self, load: Load) -> None:
         """Asks for reports until the version is there, or nothing is under way any more."""
-        give_up_at = steady_time() + LOAD_PATIENCE_S
+        deadline = steady_time() + LOAD_PATIENCE_S
         quiet = 0
-        while steady_time() < give_up_at:
+        while steady_time() < deadline:
             belief = self._samplers.get(load.sampler_id)
             if belief is None:
                 return
--- a/tests/test_item_scheduler.py
+++ b/tests/test_item_scheduler.py
@@ -1,4 +1,4 @@
-"""Which item runs where, what moves, which versions are loaded. By hand, without a clock."""
+"""Item scheduling, moves and planned weight loads, with explicit times and no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stileloom.http.native_dialect import NativeDialect
 from stileloom.jobs.book import JobBook, JobRecord
 from stileloom.jobs.intake import item_size
-from stileloom.jobs.model_versions import share_samplers
+from stileloom.jobs.model_versions import assign_samplers
 from stileloom.jobs.open_items import ItemSize
 from stileloom.jobs.scheduler import SILENCE_S, ItemScheduler
 from stileloom.jobs.version_planner import SETTLE_S, VersionPlanner, loads_at_once
@@ -21,19 +21,19 @@
 
 
 def entry(name: str, slots: int = 2, versions: dict[str, int] | None = None) -> SamplerEntry:
-    """A sampler of the one service."""
+    """A sampler of the test service."""
     return SamplerEntry(name, SERVICE, ("10.0.0.1", 1), "a", slots, False, versions or {"m": 1})
 
 
 def record(job_id: str, items: int, **fields: object) -> JobRecord:
-    """A job of model m."""
+    """A job of model `m`."""
     items_list = [JobItem(f"{job_id}-i{n}", "/p", {}, b"", f"g{n}") for n in range(items)]
     values = {"step": 0, "model": "m", "min_version": 1, "desired_groups": 1, **fields}
     return JobRecord(JobSubmission(job_id, "h", "/p", items=items_list, **values))  # type: ignore[arg-type]
 
 
 class Desk:
-    """A scheduler and a planner over some samplers."""
+    """A scheduler and a version planner over the given samplers."""
 
     def __init__(self, *entries: SamplerEntry, models: tuple[str, ...] = ("m",)) -> None:
         self.samplers = SamplerTable()
@@ -53,17 +53,17 @@
         sizes: dict[str, ItemSize] | None = None,
         tokens_per_event: float = 50.0,
     ) -> None:
-        """Takes a job."""
+        """Adopts a job."""
         self.scheduler.adopt_job(job, SERVICE, False, 3, 60.0, sizes or {}, now, tokens_per_event)
 
     def starts(self, now: float = 0.0) -> dict[str, str]:
-        """Starts what is due; the sampler by item."""
+        """Starts the due items; returns the sampler by item id."""
         self.scheduler.share_out(SERVICE, self.models)
         starts = self.scheduler.plan_starts(now, self.models)
         return {start.item.item.item_id: start.sampler_id for start in starts}
 
     def loads(self, now: float) -> list[tuple[str, int, LoadStrategy, int]]:
-        """What the planner would load."""
+        """Planned loads: sampler, version, strategy and number of evacuated runs."""
         return [
             (load.sampler_id, load.version, load.strategy, len(load.evacuate))
             for load in self.planner.plan(now, SERVICE, self.models, set())
@@ -71,7 +71,7 @@
 
 
 class SchedulerTest(testtools.TestCase):
-    """Starts and moves."""
+    """Starts and moves of runs."""
 
     def test_no_sampler_gets_more_runs_than_slots(self) -> None:
         desk = Desk(entry("a"), entry("b"))
@@ -91,18 +91,18 @@
         desk.adopt(record("j", 2), sizes={"j-i1": ItemSize(9000.0)})
         self.assertEqual({"j-i1": "a"}, desk.starts())
 
-    def test_a_sampler_whose_memory_is_spoken_for_gets_nothing_more(self) -> None:
+    def test_a_sampler_without_free_cache_gets_no_more_runs(self) -> None:
         desk = Desk(entry("a", slots=8))
         desk.scheduler.cache_tokens[SERVICE] = 500
         desk.adopt(record("j", 3), sizes={f"j-i{n}": ItemSize(400.0, 50.0) for n in range(3)})
         self.assertEqual(2, len(desk.starts()))
 
-    def test_a_silent_run_moves(self) -> None:
+    def test_an_unresponsive_run_moves(self) -> None:
         desk = Desk(entry("a"))
         desk.adopt(record("j", 1))
         desk.starts()
-        self.assertEqual([], desk.scheduler.silent_runs(SILENCE_S - 0.1))
-        self.assertEqual(1, len(desk.scheduler.silent_runs(SILENCE_S + 0.1)))
+        self.assertEqual([], desk.scheduler.unresponsive_runs(SILENCE_S - 0.1))
+        self.assertEqual(1, len(desk.scheduler.unresponsive_runs(SILENCE_S + 0.1)))
 
     def test_a_long_run_on_a_slow_sampler_moves_to_a_faster_one(self) -> None:
         desk = Desk(entry("a", slots=1), entry("b", slots=1))
@@ -111,7 +111,7 @@
         (item,) = desk.scheduler.items.values()
         for number in range(1, 20):
             item.partial.add(number, "x", 1)
-            desk.scheduler.event(item, number * 0.3)
+            desk.scheduler.record_event(item, number * 0.3)
         now = 19 * 0.3
         self.assertEqual([item], desk.scheduler.slow_runs(now))
         faster = desk.scheduler.faster_sampler(item, now)
@@ -120,20 +120,20 @@
         desk.scheduler.start_at(item, str(faster), now)
         self.assertEqual(1, desk.scheduler.pace(str(faster)).running)
 
-    def test_a_later_leader_begins_with_the_paces_that_were_measured(self) -> None:
+    def test_a_new_leader_uses_the_recorded_event_intervals(self) -> None:
         desk = Desk(entry("a"), entry("b"))
         desk.adopt(record("j", 1))
         (first,) = desk.starts().values()
         (item,) = desk.scheduler.items.values()
         for number in range(1, 60):
-            desk.scheduler.event(item, number * 0.2)
-        measured = desk.scheduler.intervals()
+            desk.scheduler.record_event(item, number * 0.2)
+        measured = desk.scheduler.measured_intervals()
         self.assertEqual([first], list(measured))
         later = ItemScheduler(desk.samplers, measured)
         self.assertAlmostEqual(0.2, later.pace(first).interval_s, places=2)
-        self.assertEqual({}, later.intervals())
+        self.assertEqual({}, later.measured_intervals())
 
-    def test_runs_that_gain_by_the_same_place_do_not_all_leave_for_it(self) -> None:
+    def test_slow_runs_do_not_all_move_to_the_same_free_slot(self) -> None:
         desk = Desk(entry("a", slots=2), entry("b", slots=1))
         desk.scheduler.pace("b").refused_until = 1.0
         desk.adopt(record("j", 2), sizes={f"j-i{n}": ItemSize(20000.0) for n in range(2)})
@@ -141,15 +141,15 @@
         for number in range(1, 20):
             for item in desk.scheduler.items.values():
                 item.partial.add(number, "x", 1)
-                desk.scheduler.event(item, number * 0.3)
+                desk.scheduler.record_event(item, number * 0.3)
         now = 19 * 0.3
         first, second = desk.scheduler.slow_runs(now)
         desk.scheduler.run_ended(first, avoid=True)
         desk.scheduler.start_at(first, "b", now)
         self.assertIsNone(desk.scheduler.faster_sampler(second, now))
 
-    def test_long_items_go_to_the_fastest_sampler_while_it_has_places(self) -> None:
-        """A full sampler makes events nearly as fast as an idle one."""
+    def test_long_items_go_to_the_fastest_sampler_while_it_has_free_slots(self) -> None:
+        """Load must not outweigh speed: a full sampler is nearly as fast as an idle one."""
         desk = Desk(entry("fast", slots=4), entry("slow", slots=4))
         desk.scheduler.pace("fast").interval_s = 0.038
         desk.scheduler.pace("slow").interval_s = 0.053
@@ -157,7 +157,7 @@
         placed = desk.starts()
         self.assertEqual(["fast"] * 4 + ["slow"], [placed[f"j-i{n}"] for n in range(5)])
 
-    def test_events_left_follow_the_tokens_that_a_service_puts_into_an_event(self) -> None:
+    def test_remaining_events_depend_on_the_tokens_per_event_of_the_service(self) -> None:
         for tokens_per_event, left in ((50.0, 20.0), (10.0, 100.0)):
             desk = Desk(entry("a"))
             sizes = {"j-i0": ItemSize(1000.0)}
@@ -175,7 +175,7 @@
         self.assertNotEqual([first], list(desk.starts().values()))
 
     def test_a_sampler_that_does_not_answer_gets_one_run_after_a_while(self) -> None:
-        """Three dead samplers took some sixty failed connections a second each."""
+        """Guards against repeated connection attempts to samplers that do not answer."""
         desk = Desk(entry("a", slots=4), entry("b", slots=4))
         desk.samplers.failed("a", 0.0)
         desk.adopt(record("j", 12))
@@ -185,10 +185,10 @@
         self.assertEqual(["a"], list(probe.values()))
         self.assertEqual({}, desk.starts(SUSPECT_S + 0.2))
         (item,) = [desk.scheduler.items["j", item_id] for item_id in probe]
-        desk.scheduler.event(item, SUSPECT_S + 0.3)
+        desk.scheduler.record_event(item, SUSPECT_S + 0.3)
         self.assertEqual(["a"] * 3, list(desk.starts(SUSPECT_S + 0.4).values()))
 
-    def test_a_new_leader_goes_on_from_saved_events(self) -> None:
+    def test_a_new_leader_resumes_from_saved_events(self) -> None:
         book = JobBook()
         job = record("j", 1)
         book.submit(job.submission)
@@ -200,7 +200,7 @@
         self.assertEqual(2, item.partial.last_event_id)
         self.assertEqual(2, item.saved_parts)
 
-    def test_a_carried_item_goes_on_only_if_its_versions_fit(self) -> None:
+    def test_a_reused_item_resumes_only_if_its_versions_are_accepted(self) -> None:
         for min_version, kept in ((1, 1), (2, 0)):
             desk = Desk(entry("a"))
             first = record("j", 1)
@@ -214,24 +214,24 @@
             desk.adopt(later)
             (item,) = desk.scheduler.items.values()
             self.assertEqual(kept, len(item.partial.parts))
-            self.assertTrue(item.carried)
+            self.assertTrue(item.reused)
 
 
-class ShareTest(testtools.TestCase):
-    """Samplers by model."""
+class AssignmentTest(testtools.TestCase):
+    """Assignment of samplers to models."""
 
-    def test_in_proportion_and_with_few_moves(self) -> None:
-        share = share_samplers(list("abcde"), {"m": 2.0, "n": 1.0}, {})
-        counts = {model: list(share.values()).count(model) for model in ("m", "n")}
+    def test_assignment_is_proportional_and_stable(self) -> None:
+        assignment = assign_samplers(list("abcde"), {"m": 2.0, "n": 1.0}, {})
+        counts = {model: list(assignment.values()).count(model) for model in ("m", "n")}
         self.assertEqual({"m": 3, "n": 2}, counts)
-        again = share_samplers(list("abcdef"), {"m": 2.0, "n": 1.0}, share)
-        self.assertEqual(share, {name: again[name] for name in share})
+        again = assign_samplers(list("abcdef"), {"m": 2.0, "n": 1.0}, assignment)
+        self.assertEqual(assignment, {name: again[name] for name in assignment})
 
-    def test_too_few_samplers_serve_all(self) -> None:
-        self.assertEqual({}, share_samplers(["a"], {"m": 1.0, "n": 1.0}, {}))
+    def test_too_few_samplers_serve_all_models(self) -> None:
+        self.assertEqual({}, assign_samplers(["a"], {"m": 1.0, "n": 1.0}, {}))
 
-    def test_a_new_leader_keeps_the_share_of_the_one_before(self) -> None:
-        """Otherwise work would wait until nearly all samplers have loaded another model."""
+    def test_a_new_leader_keeps_the_assignment_of_the_previous_one(self) -> None:
+        """Another assignment would delay all items until most samplers have loaded a model."""
         versions = {
             "a": {"m": 1, "n": 6},
             "b": {"m": 1, "n": 6},
@@ -245,7 +245,7 @@
 
 
 class VersionPlannerTest(testtools.TestCase):
-    """Loads."""
+    """Planned weight loads."""
 
     def test_idle_samplers_load_a_few_at_a_time_once_the_step_has_started(self) -> None:
         desk = Desk(*(entry(name) for name in "abc"))
@@ -257,14 +257,14 @@
         self.assertEqual([], desk.loads(SETTLE_S + 0.2))
 
     def test_of_many_samplers_more_load_together(self) -> None:
-        """With two at a time 24 samplers took longer than the time between two versions."""
+        """Guards against large services that load more slowly than versions are announced."""
         self.assertEqual([2, 2, 2, 10], [loads_at_once(count) for count in (1, 5, 6, 25)])
         desk = Desk(*(entry(f"s{number:02}") for number in range(24)))
         desk.planner.named("m", 2, 0.0)
         self.assertEqual(9, len(desk.loads(SETTLE_S + 0.1)))
 
-    def test_loads_that_hand_runs_over_do_not_count_on_the_same_room(self) -> None:
-        """Four samplers with three free slots each: two of them can hand two runs over."""
+    def test_concurrent_evacuations_do_not_use_the_same_free_slots(self) -> None:
+        """Guards against evacuations that together exceed the free slots."""
         desk = Desk(*(entry(name, slots=5) for name in "abcdefghij"))
         desk.adopt(record("j", 50))
         placed = desk.starts()
@@ -276,14 +276,14 @@
         evacuated = [load[3] for load in desk.loads(SETTLE_S + 0.1)]
         self.assertEqual([2, 2], evacuated)
 
-    def test_a_busy_sampler_is_left_alone_while_no_work_needs_the_version(self) -> None:
+    def test_a_busy_sampler_does_not_load_a_version_that_no_item_requires(self) -> None:
         desk = Desk(entry("a"))
         desk.adopt(record("j", 2))
         desk.starts()
         desk.planner.named("m", 2, 0.0)
         self.assertEqual([], desk.loads(LATER))
 
-    def test_work_that_needs_the_version_makes_it_due_beside_running_work(self) -> None:
+    def test_a_version_that_waiting_items_require_is_loaded_beside_running_items(self) -> None:
         desk = Desk(entry("a"))
         desk.adopt(record("j", 1))
         desk.starts()
@@ -291,7 +291,7 @@
         desk.planner.named("m", 2, 0.0)
         self.assertEqual([("a", 2, LoadStrategy.RETAIN, 0)], desk.loads(0.0))
 
-    def test_few_runs_go_elsewhere_before_a_load(self) -> None:
+    def test_few_runs_are_evacuated_before_a_load(self) -> None:
         desk = Desk(entry("a", slots=8), entry("b", slots=8))
         desk.adopt(record("j", 2))
         desk.starts()
@@ -299,7 +299,7 @@
         (load,) = [load for load in desk.loads(SETTLE_S + 0.1) if load[3]][:1]
         self.assertEqual(LoadStrategy.WAIT, load[2])
 
-    def test_a_version_never_goes_back(self) -> None:
+    def test_versions_never_decrease(self) -> None:
         desk = Desk(entry("a", versions={"m": 5}))
         desk.planner.named("m", 4, 0.0)
         self.assertEqual([], desk.loads(LATER))
@@ -307,9 +307,9 @@
 
 
 class ItemSizeTest(testtools.TestCase):
-    """What callers say of an item's length."""
+    """Size estimates from request headers."""
 
-    def test_a_hint_above_what_the_caller_allows_is_cut(self) -> None:
+    def test_a_length_hint_is_capped_by_the_token_limit(self) -> None:
         names = NativeDialect().names
         headers = {names.token_usage: "540,400", names.length_hint: "39450"}
         self.assertEqual(ItemSize(400.0, 540.0), item_size(headers, names))
