--- a/stileloom/jobs/result_writer.py
+++ b/stileloom/jobs/result_writer.py
@@ -1,4 +1,4 @@
-"""Commits results and saved events to the ledger, and wakes those who wait for them."""
+"""Commits results and saved events to the ledger and notifies waiting readers."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 )
 from stileloom.logging import EventLog
 
-FLUSH_S = 0.02
-"""Results that come within this time are committed together."""
-ITEMS_LOGGED = 16
-INTERVAL_CHANGE = 1.15
-"""A sampler whose pace changed by less than this factor is not saved anew."""
+FLUSH_DELAY_S = 0.02
+"""Results within this time are committed in one command."""
+MAX_ITEMS_LOGGED = 16
+INTERVAL_CHANGE_FACTOR = 1.15
+"""Event intervals are saved again only if one changed by at least this factor."""
 
 
 class ResultWriter:
-    """Writes of one leadership."""
+    """Ledger writes of one leadership."""
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobBook,
         ledger: LeaderLedger,
         scheduler: ItemScheduler,
         tasks: BackgroundTasks,
@@ -41,7 +41,7 @@
         metrics: JobMetrics,
         on_listed: Callable[[], None],
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._ledger = ledger
         self._scheduler = scheduler
         self._tasks = tasks
@@ -49,47 +49,47 @@
         self._metrics = metrics
         self._on_listed = on_listed
         self._finished: dict[str, list[FinishedItem]] = {}
-        self._whole: list[OpenItem] = []
-        """Whole texts that wait for their score and are not saved yet."""
-        self._flush_due = False
+        self._complete_texts: list[OpenItem] = []
+        """Complete texts without a score that are not saved yet."""
+        self._flush_scheduled = False
         self._stopped = False
         self._waiters: dict[str, list[asyncio.Future[None]]] = {}
 
     def stop(self) -> None:
-        """Leadership is over: nothing more is written, and nobody waits on."""
+        """Stops writing and releases all waiting readers at the end of the leadership."""
         self._stopped = True
         for job_id in list(self._waiters):
-            self.wake(job_id)
+            self.notify_waiters(job_id)
 
     def wait(self, job_id: str) -> asyncio.Future[None]:
-        """Resolved when the job has new results or has ended."""
+        """Returns a future that is resolved when the job has new results or has ended."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.setdefault(job_id, []).append(future)
         return future
 
     def list_result(self, job_id: str, result: FinishedItem) -> None:
-        """Lists a result soon, together with others."""
+        """Queues a result for the next flush."""
         self._finished.setdefault(job_id, []).append(result)
-        self._flush_soon()
+        self._schedule_flush()
 
-    def save_whole(self, open_item: OpenItem) -> None:
-        """Saves a whole text soon: a new leader asks only for its score."""
-        self._whole.append(open_item)
-        self._flush_soon()
+    def save_complete_text(self, open_item: OpenItem) -> None:
+        """Queues a complete text to be saved, so that a new leader only requests its score."""
+        self._complete_texts.append(open_item)
+        self._schedule_flush()
 
-    def _flush_soon(self) -> None:
-        if not self._flush_due:
-            self._flush_due = True
-            asyncio.get_running_loop().call_later(FLUSH_S, self._flush)
+    def _schedule_flush(self) -> None:
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            asyncio.get_running_loop().call_later(FLUSH_DELAY_S, self._flush)
 
     def _flush(self) -> None:
-        self._flush_due = False
+        self._flush_scheduled = False
         finished, self._finished = self._finished, {}
-        whole, self._whole = self._whole, []
+        complete_texts, self._complete_texts = self._complete_texts, []
         if self._stopped:
             return
-        # Texts go first: a result that follows names saved events by their number.
-        self._save_events([open_item for open_item in whole if not open_item.finished])
+        # Texts first, because a result refers to the number of saved events.
+        self._save_events([open_item for open_item in complete_texts if not open_item.finished])
         for job_id, results in finished.items():
             self._tasks.spawn(self._record(job_id, results))
 
@@ -101,21 +101,21 @@
         for result in results:
             self._scheduler.remove_listed((job_id, result.item_id))
         self._metrics.results_listed.inc(len(results))
-        record = self._book.jobs.get(job_id)
+        record = self._registry.jobs.get(job_id)
         self._log.emit(
             LogEvent.RESULTS_LISTED,
             {
                 "job": job_id,
-                "items": [result.item_id for result in results[:ITEMS_LOGGED]],
+                "items": [result.item_id for result in results[:MAX_ITEMS_LOGGED]],
                 "count": len(results),
                 "listed": len(record.results) if record is not None else 0,
             },
         )
-        self.wake(job_id)
+        self.notify_waiters(job_id)
         self._on_listed()
 
     def save_progress(self) -> None:
-        """Events of long items go to the ledger: a new leader goes on from there."""
+        """Saves events of long items, so that a new leader resumes from there."""
         self._save_events(self._scheduler.items_to_save())
 
     def _save_events(self, open_items: list[OpenItem]) -> None:
@@ -142,34 +142,34 @@
         try:
             await self._ledger.propose(SaveProgress(job_id, items))
         except StileloomError:
-            # Leadership is lost: the next leader goes on from what is saved.
+            # Leadership was lost; the next leader resumes from the saved events.
             return
 
     def record_intervals(self) -> None:
-        """Saves how fast samplers are, where that has changed."""
+        """Saves the measured event intervals if they changed."""
         intervals = self._scheduler.measured_intervals()
-        if _differ(intervals, self._book.interval_s):
+        if _have_changed(intervals, self._registry.interval_s):
             self._tasks.spawn(self._record_intervals(intervals))
 
     async def _record_intervals(self, intervals: dict[str, float]) -> None:
         try:
             await self._ledger.propose(RecordIntervals(intervals))
         except StileloomError:
-            # Leadership is lost: the next leader measures by itself.
+            # Leadership was lost; the next leader measures the intervals again.
             return
 
-    def wake(self, job_id: str) -> None:
-        """Resolves all that wait for a job."""
+    def notify_waiters(self, job_id: str) -> None:
+        """Resolves the futures of all readers that wait for a job."""
         for future in self._waiters.pop(job_id, []):
             if not future.done():
                 future.set_result(None)
 
 
-def _differ(new: dict[str, float], old: dict[str, float]) -> bool:
+def _have_changed(new: dict[str, float], old: dict[str, float]) -> bool:
     if new.keys() - old.keys():
         return True
     return any(
-        interval_s > old[sampler_id] * INTERVAL_CHANGE
-        or old[sampler_id] > interval_s * INTERVAL_CHANGE
+        interval_s > old[sampler_id] * INTERVAL_CHANGE_FACTOR
+        or old[sampler_id] > interval_s * INTERVAL_CHANGE_FACTOR
         for sampler_id, interval_s in new.items()
     )
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -1,7 +1,7 @@
-"""Runs the items of open jobs at the ledger's leader, and loads weight versions.
+"""Runs the items of open jobs and orders weight loads on the ledger's leader.
 
-Everything here is memory: a new leader begins from the ledger's jobs and from what the
-samplers and the store say.
+All state is in memory. A new leader rebuilds it from the jobs in the ledger, the samplers'
+reports and the object store.
 """
 
 from __future__ import annotations
@@ -46,26 +46,26 @@
 from stileloom.switches import Switches
 
 RETRY_S = 0.05
-REFUSED_PAUSE_S = 0.15
-GIVE_UP_MARGIN_S = 2.0
-IMPOSSIBLE_ATTEMPTS = 1
+REFUSAL_BACKOFF_S = 0.15
+DEADLINE_MARGIN_S = 2.0
+MAX_REJECTIONS = 1
 SAVE_INTERVAL_S = 0.25
-RECORD_INTERVALS_S = 2.0
-"""How often the pace of samplers is saved for a later leader."""
-STARTS_PATIENCE_S = 0.2
-VERSIONS_PATIENCE_S = 0.6
-"""How long a new leader waits for the list of named versions before it orders any."""
-STEP_SOON_S = 0.005
-MOVES_PER_STEP = 3
+INTERVAL_RECORD_PERIOD_S = 2.0
+"""Interval at which measured event intervals are saved for a later leader."""
+START_DELAY_S = 0.2
+VERSION_LIST_TIMEOUT_S = 0.6
+"""Time after which a new leader orders loads without the list of announced versions."""
+STEP_DELAY_S = 0.005
+MAX_MOVES_PER_STEP = 3
 
 
 class LeaderParts(msgspec.Struct, frozen=True):
-    """What a runner is given: the node's parts, and what is settled for this leadership."""
+    """Dependencies of a runner and the parameters of its leadership."""
 
     node_id: str
     epoch: int
     orders_from: float
-    """No order before this monotonic time: an earlier leader's last one must be past."""
+    """Monotonic time at which orders become safe: no earlier leader can still send any."""
     book: JobBook
     ledger: LeaderLedger
     routes: RouteTable
@@ -79,16 +79,16 @@
 
 
 class JobRunner:
-    """Lives as long as one leadership."""
+    """Schedules and runs items during one leadership."""
 
     def __init__(self, parts: LeaderParts) -> None:
-        book, ledger, samplers = parts.book, parts.ledger, parts.samplers
+        registry, ledger, samplers = parts.book, parts.ledger, parts.samplers
         dialect, log, metrics, switches = parts.dialect, parts.log, parts.metrics, parts.switches
-        self.scheduler = ItemScheduler(samplers, book.interval_s, switches)
+        self.scheduler = ItemScheduler(samplers, registry.interval_s, switches)
         self.planner = VersionPlanner(self.scheduler, samplers, switches)
         self._switches = switches
-        self._orders_from = parts.orders_from
-        self._book = book
+        self._orders_allowed_at = parts.orders_from
+        self._registry = registry
         self._ledger = ledger
         self._routes = parts.routes
         self._samplers = samplers
@@ -100,14 +100,14 @@
         self._adopted: dict[str, float] = {}
         self._stopped = False
         self._next_save_at = 0.0
-        self._next_record_at = steady_time() + RECORD_INTERVALS_S
-        self._versions_due_at = steady_time() + VERSIONS_PATIENCE_S
-        self._starts_from = steady_time() + STARTS_PATIENCE_S
-        """Samplers that have to load first had better not get work just before."""
+        self._next_interval_record_at = steady_time() + INTERVAL_RECORD_PERIOD_S
+        self._version_list_deadline = steady_time() + VERSION_LIST_TIMEOUT_S
+        self._starts_allowed_at = steady_time() + START_DELAY_S
+        """Delays the first runs, so that they do not start on samplers that are about to load."""
         self._tasks = BackgroundTasks(log)
         self._suspects = SuspectItems(parts.guard, self.scheduler, self._host_of, self._tasks, log)
         self._writer = ResultWriter(
-            book, ledger, self.scheduler, self._tasks, log, metrics, self._step_soon
+            registry, ledger, self.scheduler, self._tasks, log, metrics, self._schedule_step
         )
         self._loader = WeightLoader(
             parts.node_id,
@@ -127,7 +127,7 @@
         )
 
     def stop(self) -> None:
-        """Leadership is over: closes every stream."""
+        """Closes all streams and cancels all tasks at the end of the leadership."""
         self._stopped = True
         for connection in self._connections.values():
             connection.close()
@@ -136,45 +136,48 @@
         self._tasks.cancel()
         self._writer.stop()
 
-    # What the rest of the node tells.
+    # Notifications from the node.
 
     def version_named(self, model: str, version: int) -> None:
-        """A trainer has named a version."""
+        """Handles a version announced by a trainer."""
         if self.planner.named(model, version, steady_time()):
             self._log.emit(LogEvent.VERSION_NAMED, {"model": model, "version": version})
 
     def versions_listed(self) -> None:
-        """All versions that are named by now were told."""
-        self._versions_due_at = float("-inf")
-        self._starts_from = float("-inf")
-        self._step_soon()
+        """Handles the end of the initial list of announced versions."""
+        self._version_list_deadline = float("-inf")
+        self._starts_allowed_at = float("-inf")
+        self._schedule_step()
 
     def sampler_seen(self, sampler_id: str, versions: dict[str, int]) -> None:
-        """The directory lists a sampler."""
-        self._loader.saw_versions(sampler_id, versions)
+        """Records the versions of a sampler that the directory lists."""
+        self._loader.record_versions(sampler_id, versions)
 
     def sampler_gone(self, sampler_id: str) -> None:
-        """The sampler leaves or is gone; its runs go on while it makes events."""
-        self._suspects.sampler_gone(sampler_id)
+        """Handles a sampler that is leaving or gone; its runs continue while events arrive."""
+        self._suspects.forget_sampler(sampler_id)
         self._pool.forget(sampler_id)
-        self._loader.forget(sampler_id)
+        self._loader.forget_sampler(sampler_id)
 
     def results_wait(self, job_id: str) -> asyncio.Future[None]:
-        """Resolved when the job has new results or has ended."""
+        """Returns a future that is resolved when the job has new results or has ended."""
         return self._writer.wait(job_id)
 
     def _may_act(self) -> bool:
-        """Checked right before anything leaves: a process may have slept since its last step."""
+        """Whether this node still leads.
+
+        Checked before each send, because the process may have been suspended since its last step.
+        """
         return not self._stopped and self._ledger.may_act()
 
-    # The loop of decisions.
+    # Scheduling loop.
 
     def step(self) -> None:
-        """Takes in what has changed and starts what is due."""
+        """Applies changes of the job registry and starts due runs, loads and reward calls."""
         if not self._may_act():
             return
         now = steady_time()
-        self._follow_book(now)
+        self._sync_jobs(now)
         for open_item in self.scheduler.unresponsive_runs(now):
             self._stop_run(open_item, "silent", avoid=True)
             open_item.not_before = 0.0
@@ -189,24 +192,24 @@
             self._next_save_at = now + SAVE_INTERVAL_S
             if self._switches.saved_events:
                 self._writer.save_progress()
-        if now >= self._next_record_at and self._switches.recorded_paces:
-            self._next_record_at = now + RECORD_INTERVALS_S
+        if now >= self._next_interval_record_at and self._switches.recorded_paces:
+            self._next_interval_record_at = now + INTERVAL_RECORD_PERIOD_S
             self._writer.record_intervals()
 
     def _move_slow_runs(self, now: float) -> None:
-        """Each goes straight to the sampler that it gains by: its place is not given away."""
+        """Restarts slow runs on the faster sampler at once, so that its slot is not taken."""
         if not self._switches.moves:
             return
         starts: list[StartRun] = []
         for open_item in self.scheduler.slow_runs(now):
             sampler_id = self.scheduler.faster_sampler(open_item, now)
-            if sampler_id is not None and len(starts) < MOVES_PER_STEP:
+            if sampler_id is not None and len(starts) < MAX_MOVES_PER_STEP:
                 self._stop_run(open_item, "moved", avoid=True)
                 starts.append(self.scheduler.start_at(open_item, sampler_id, now))
         self._begin(starts)
 
     def _begin(self, starts: list[StartRun]) -> None:
-        self._log_starts(starts)
+        self._log_started_runs(starts)
         for start in starts:
             self._tasks.spawn(self._run_item(start))
 
@@ -215,22 +218,22 @@
         models = service.engine.models
         self.scheduler.cache_tokens[service.name] = service.engine.cache_tokens
         self.scheduler.share_out(service.name, models)
-        if now >= max(self._orders_from, self._versions_due_at):
+        if now >= max(self._orders_allowed_at, self._version_list_deadline):
             single = {item.model for item in self.scheduler.items.values() if item.single_version}
             for load in self.planner.plan(now, service.name, models, single):
                 for open_item in load.evacuate:
                     self._stop_run(open_item, "the sampler loads")
                     open_item.not_before = 0.0
                 self._tasks.spawn(self._load(load))
-        if now >= self._starts_from:
+        if now >= self._starts_allowed_at:
             self._begin(self.scheduler.plan_starts(now, models))
 
-    def _log_starts(self, starts: list[StartRun]) -> None:
-        """One line for each job and sampler: a step starts dozens of items at once."""
-        together: dict[tuple[str, str], list[OpenItem]] = {}
+    def _log_started_runs(self, starts: list[StartRun]) -> None:
+        """Logs one line per job and sampler, since a step may start dozens of items."""
+        items_by_target: dict[tuple[str, str], list[OpenItem]] = {}
         for start in starts:
-            together.setdefault((start.item.key[0], start.sampler_id), []).append(start.item)
-        for (job_id, sampler_id), items in together.items():
+            items_by_target.setdefault((start.item.key[0], start.sampler_id), []).append(start.item)
+        for (job_id, sampler_id), items in items_by_target.items():
             versions = self.scheduler.models_of(sampler_id).versions
             self._log.emit(
                 LogEvent.ITEMS_SENT,
@@ -244,15 +247,15 @@
                 },
             )
 
-    def _follow_book(self, now: float) -> None:
-        for job_id, record in list(self._book.jobs.items()):
+    def _sync_jobs(self, now: float) -> None:
+        for job_id, record in list(self._registry.jobs.items()):
             if job_id not in self._adopted:
                 self._adopted[job_id] = now
             if record.is_open:
                 self._adopt(record, now)
         for job_id in {job_id for job_id, _ in self.scheduler.items}:
-            ended = self._book.jobs.get(job_id)
-            if ended is None or not ended.is_open:
+            job_record = self._registry.jobs.get(job_id)
+            if job_record is None or not job_record.is_open:
                 self._drop(job_id)
         for open_item in list(self.scheduler.items.values()):
             if now >= open_item.deadline and not open_item.finished:
@@ -269,7 +272,7 @@
         route = self._route_of(record)
         if route is None:
             return
-        reusable = reusable_results(self._book, record, route.single_version)
+        reusable = reusable_results(self._registry, record, route.single_version)
         for finished in reusable:
             self._writer.list_result(submission.job_id, finished)
         names = self._dialect.names
@@ -280,7 +283,7 @@
             route.backends[0].service,
             route.single_version,
             route.max_attempts,
-            route.max_wait_s + GIVE_UP_MARGIN_S - (now - self._adopted[submission.job_id]),
+            route.max_wait_s + DEADLINE_MARGIN_S - (now - self._adopted[submission.job_id]),
             sizes,
             now,
             self._tokens_per_event(route.backends[0].service),
@@ -300,7 +303,7 @@
         for item in submission.items:
             open_item = self.scheduler.items.get((submission.job_id, item.item_id))
             if open_item is not None and open_item.partial.whole and not open_item.finished:
-                self._text_whole(open_item)
+                self._on_complete_text(open_item)
 
     def _tokens_per_event(self, service_name: str) -> float:
         service = self._routes.service(service_name)
@@ -317,7 +320,7 @@
         for open_item in self.scheduler.drop_job(job_id):
             self._stop_run(open_item, "job ended")
             self._rewards.drop(open_item.key)
-        self._writer.wake(job_id)
+        self._writer.notify_waiters(job_id)
 
     # Runs.
 
@@ -331,13 +334,15 @@
             self.scheduler.run_ended(open_item)
             return
         entry = belief.entry
-        if not self._suspects.allows(open_item, entry.sampler_id):
+        if not self._suspects.may_start(open_item, entry.sampler_id):
             return
         try:
             connection = await self._pool.acquire(entry.sampler_id, entry.address)
         except (OSError, TimeoutError) as error:
             self._samplers.failed(entry.sampler_id, steady_time())
-            self._note_run(open_item, entry.sampler_id, RunOutcome.BROKEN, type(error).__name__)
+            self._log_failed_run(
+                open_item, entry.sampler_id, RunOutcome.BROKEN, type(error).__name__
+            )
             if open_item.run is run:
                 self.scheduler.run_ended(open_item, avoid=True)
                 open_item.not_before = steady_time() + RETRY_S
@@ -345,7 +350,7 @@
         if open_item.run is not run or not self._may_act():
             self._pool.release(entry.sampler_id, connection)
             return
-        # The text is copied: an end of this run that comes late must not touch a later one's.
+        # A copy, so that late events of this run cannot modify the text of a later run.
         partial = open_item.partial.copy()
         open_item.partial = partial
         stream = ItemStream(
@@ -353,8 +358,8 @@
             partial,
             open_item.min_version,
             self._dialect.names,
-            lambda _: self._event(open_item, run),
-            lambda outcome, detail: self._ended(start, entry, outcome, detail),
+            lambda _: self._on_event(open_item, run),
+            lambda outcome, detail: self._on_run_ended(start, entry, outcome, detail),
         )
         self._connections[open_item.key] = connection
         self._metrics.runs_started.inc()
@@ -367,7 +372,7 @@
         )
         connection.exchange(request, stream)
 
-    def _event(self, open_item: OpenItem, run: ItemRun) -> None:
+    def _on_event(self, open_item: OpenItem, run: ItemRun) -> None:
         if open_item.run is not run:
             return
         now = steady_time()
@@ -376,11 +381,11 @@
         self.scheduler.record_event(open_item, now)
 
     def _host_of(self, open_item: OpenItem) -> str:
-        record = self._book.jobs.get(open_item.key[0])
+        record = self._registry.jobs.get(open_item.key[0])
         return record.submission.host if record is not None else ""
 
     def _stop_run(self, open_item: OpenItem, reason: str, avoid: bool = False) -> None:
-        """Closes the sampler's connection; the text so far is kept."""
+        """Stops a run by closing its connection; the partial text is kept."""
         connection = self._connections.pop(open_item.key, None)
         if connection is not None:
             connection.close()
@@ -402,13 +407,13 @@
             )
         self.scheduler.run_ended(open_item, avoid)
 
-    def _ended(
+    def _on_run_ended(
         self, start: StartRun, entry: SamplerEntry, outcome: RunOutcome, detail: str
     ) -> None:
         open_item = start.item
         sampler_id = start.sampler_id
         if open_item.run is not start.run:
-            # It was stopped before: its text is not the item's any more.
+            # The run was stopped before, and its text is no longer the item's.
             return
         connection = self._connections.pop(open_item.key, None)
         now = steady_time()
@@ -422,16 +427,16 @@
         self._metrics.runs_ended.labels(outcome.value).inc()
         if outcome is RunOutcome.WHOLE:
             self._samplers.answered(sampler_id)
-            self._suspects.answered(open_item)
+            self._suspects.on_complete_text(open_item)
             open_item.partial.whole = True
-            self._text_whole(open_item)
+            self._on_complete_text(open_item)
             return
-        self._note_run(open_item, sampler_id, outcome, detail)
+        self._log_failed_run(open_item, sampler_id, outcome, detail)
         open_item.not_before = now + RETRY_S
         if outcome is RunOutcome.BROKEN:
-            self._suspects.broke_off(open_item, entry, now - start.run.started_at)
+            self._suspects.on_run_broken(open_item, entry, now - start.run.started_at)
         if outcome is RunOutcome.REFUSED:
-            self.scheduler.pace(sampler_id).refused_until = now + REFUSED_PAUSE_S
+            self.scheduler.pace(sampler_id).refused_until = now + REFUSAL_BACKOFF_S
         elif outcome is RunOutcome.MISDIRECTED:
             self._samplers.mark_leaving(sampler_id)
         elif outcome is RunOutcome.FAILED:
@@ -440,11 +445,13 @@
                 self._finish(open_item, ItemState.GIVEN_UP, f"{open_item.failures} failed runs")
         elif outcome is RunOutcome.IMPOSSIBLE:
             open_item.rejections += 1
-            if open_item.rejections >= IMPOSSIBLE_ATTEMPTS:
-                self._finish(open_item, ItemState.GIVEN_UP, "the sampler says it can't be done")
-        self._step_soon()
+            if open_item.rejections >= MAX_REJECTIONS:
+                self._finish(
+                    open_item, ItemState.GIVEN_UP, "the sampler rejected the item as impossible"
+                )
+        self._schedule_step()
 
-    def _note_run(
+    def _log_failed_run(
         self, open_item: OpenItem, sampler_id: str, outcome: RunOutcome, detail: str
     ) -> None:
         self._log.emit(
@@ -459,29 +466,29 @@
             },
         )
 
-    def _step_soon(self) -> None:
-        asyncio.get_running_loop().call_later(STEP_SOON_S, self.step)
+    def _schedule_step(self) -> None:
+        asyncio.get_running_loop().call_later(STEP_DELAY_S, self.step)
 
     # Results.
 
-    def _text_whole(self, open_item: OpenItem) -> None:
-        """The text ends here: it is listed, or saved until its score has come."""
+    def _on_complete_text(self, open_item: OpenItem) -> None:
+        """Lists a complete text, or saves it and requests its score."""
         if self.scheduler.items.get(open_item.key) is not open_item:
-            # Its job has ended, or another leader has listed it.
+            # The job has ended, or the result was listed by another leader.
             return
         reward = open_item.item.reward
         if reward is None:
             self._finish(open_item, ItemState.SUCCEEDED, "")
             return
-        self._writer.save_whole(open_item)
+        self._writer.save_complete_text(open_item)
         self._rewards.ask(open_item, reward)
 
     def scored(self, open_item: OpenItem, score: str) -> None:
-        """The score of a whole text has come."""
+        """Lists a complete text with its score."""
         self._finish(open_item, ItemState.SUCCEEDED, "", score)
 
     def not_scored(self, open_item: OpenItem, reason: str) -> None:
-        """A whole text gets no score."""
+        """Gives up an item whose reward call failed."""
         self._finish(open_item, ItemState.GIVEN_UP, reason)
 
     def _finish(self, open_item: OpenItem, state: ItemState, reason: str, score: str = "") -> None:
@@ -512,15 +519,15 @@
 
     async def _load(self, load: Load) -> None:
         await self._loader.load(load)
-        self._step_soon()
+        self._schedule_step()
 
     def expired(self, retention_s: float) -> list[ForgetJob]:
-        """Commands that drop jobs nobody may ask for any more."""
+        """Returns commands that remove jobs without open items after the retention period."""
         now = steady_time()
         return [
             ForgetJob(job_id)
             for job_id, adopted_at in self._adopted.items()
             if now - adopted_at > retention_s
-            and job_id in self._book.jobs
-            and not self._book.jobs[job_id].is_open
+            and job_id in self._registry.jobs
+            and not self._registry.jobs[job_id].is_open
         ]
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -1,4 +1,4 @@
-"""Batch items under which samplers end: when they may run, and what their runs tell."""
+"""Isolates batch items that are suspected to crash samplers, and reports their runs."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from stileloom.quarantine.guard import BEGAN_LATELY_S, QuarantineGuard
 from stileloom.quarantine.identity import identity_of
 
-APART_PAUSE_S = 0.1
-"""Until a suspect is looked at again whose sampler runs another one; an end is known sooner."""
-HELD_PAUSE_S = 0.5
-"""Until a held item is looked at again; the ledger settles within some 0.1 s who is held."""
+ISOLATION_RETRY_S = 0.1
+"""Delay before a suspect is retried whose sampler runs another suspect."""
+QUARANTINE_CHECK_INTERVAL_S = 0.5
+"""Delay before the quarantine of an item is checked again."""
 
 
 class SuspectItems:
-    """Asked before each run of an item, and told how it ended. One for each leadership."""
+    """Decides whether suspected items may start. One instance per leadership."""
 
     def __init__(
         self,
@@ -37,66 +37,69 @@
         self._host_of = host_of
         self._tasks = tasks
         self._log = log
-        self._suspect_at: dict[str, ItemKey] = {}
-        """The suspect that a sampler runs, or ran last."""
+        self._suspect_by_sampler: dict[str, ItemKey] = {}
+        """The suspect that runs on a sampler, or ran there last."""
 
-    def allows(self, open_item: OpenItem, sampler_id: str) -> bool:
-        """Whether a planned run may begin; it is put off otherwise.
+    def may_start(self, open_item: OpenItem, sampler_id: str) -> bool:
+        """Whether a planned run may start; it is postponed otherwise.
 
-        Suspects run apart from one another. Items of a step start together, so a poison one took
-        the others with it each time, and all came to be held: 4 of 10 trials with three items.
+        A sampler runs at most one suspect at a time. Otherwise an item that crashes samplers would
+        repeatedly affect the other items of its step, and all of them would be quarantined.
         """
         view = self._guard.view
         if view.empty:
             return True
         identity = self._identity(open_item)
         if view.is_held(identity):
-            self._hold(open_item, identity)
+            self._postpone_quarantined(open_item, identity)
             return False
         suspected = len(view.ends_under(identity)) >= LISTED_FROM
-        if suspected and not self._takes_place(open_item, sampler_id):
-            self._put_off(open_item, APART_PAUSE_S, avoid=True)
+        if suspected and not self._reserve_sampler(open_item, sampler_id):
+            self._postpone(open_item, ISOLATION_RETRY_S, avoid=True)
             return False
         return True
 
-    def broke_off(self, open_item: OpenItem, entry: SamplerEntry, ran_s: float) -> None:
-        """Finds out whether the sampler ended under the item; the retry waits longer than that."""
+    def on_run_broken(self, open_item: OpenItem, entry: SamplerEntry, ran_s: float) -> None:
+        """Checks whether the sampler crashed shortly after the run of the item started."""
         if ran_s <= BEGAN_LATELY_S:
-            self._tasks.spawn(self._judge(open_item, entry, ran_s))
+            self._tasks.spawn(self._check_for_crash(open_item, entry, ran_s))
 
-    def answered(self, open_item: OpenItem) -> None:
-        """The item's text is whole: nothing is held against it any more."""
+    def on_complete_text(self, open_item: OpenItem) -> None:
+        """Reports a complete text, which clears the item of suspicion."""
         if not self._guard.view.empty:
             self._guard.answered(self._identity(open_item), suspected=False)
 
-    def sampler_gone(self, sampler_id: str) -> None:
-        """No suspect runs there any more."""
-        self._suspect_at.pop(sampler_id, None)
+    def forget_sampler(self, sampler_id: str) -> None:
+        """Releases the sampler's suspect."""
+        self._suspect_by_sampler.pop(sampler_id, None)
 
     def _identity(self, open_item: OpenItem) -> str:
         item = open_item.item
         headers = [("Host", self._host_of(open_item)), *item.headers.items()]
         return identity_of("POST", item.path, headers, item.body)
 
-    async def _judge(self, open_item: OpenItem, entry: SamplerEntry, ran_s: float) -> None:
+    async def _check_for_crash(
+        self, open_item: OpenItem, entry: SamplerEntry, ran_s: float
+    ) -> None:
         identity = self._identity(open_item)
         await self._guard.judge(open_item.item.item_id, identity, entry, ran_s)
 
-    def _takes_place(self, suspect: OpenItem, sampler_id: str) -> bool:
-        """Takes the sampler's place for a suspect, unless another one runs there."""
-        occupant = self._scheduler.items.get(self._suspect_at.get(sampler_id, suspect.key))
+    def _reserve_sampler(self, suspect: OpenItem, sampler_id: str) -> bool:
+        """Reserves a sampler for a suspect unless another one runs there."""
+        occupant = self._scheduler.items.get(self._suspect_by_sampler.get(sampler_id, suspect.key))
         run = occupant.run if occupant is not None and occupant is not suspect else None
         if run is not None and run.sampler_id == sampler_id:
             return False
-        self._suspect_at[sampler_id] = suspect.key
+        self._suspect_by_sampler[sampler_id] = suspect.key
         return True
 
-    def _hold(self, open_item: OpenItem, identity: str) -> None:
-        """A held item does not run; it is given up when its time is over, as a job may expect.
+    def _postpone_quarantined(self, open_item: OpenItem, identity: str) -> None:
+        """Postpones a quarantined item; it is given up at its deadline.
 
-        It is looked at again: a good answer, another request's guilt or an operator lifts the hold.
+        The quarantine is checked again because a complete answer, evidence against another request
+        or an operator may lift it.
         """
-        self._put_off(open_item, HELD_PAUSE_S, avoid=False)
+        self._postpone(open_item, QUARANTINE_CHECK_INTERVAL_S, avoid=False)
         self._log.emit(
             LogEvent.ITEM_STOPPED,
             {
@@ -108,6 +111,6 @@
             },
         )
 
-    def _put_off(self, open_item: OpenItem, pause_s: float, avoid: bool) -> None:
+    def _postpone(self, open_item: OpenItem, pause_s: float, avoid: bool) -> None:
         self._scheduler.run_ended(open_item, avoid=avoid)
         open_item.not_before = steady_time() + pause_s
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -1,4 +1,4 @@
-"""Carries out loads of weight versions: report, fenced order, and reports until it is done."""
+"""Executes planned weight loads: reads a report, sends a fenced order, polls for the version."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from stileloom.logging import EventLog
 from stileloom.proxy.sampler_table import SamplerTable
 
-LOAD_S = 0.9
+FIRST_REPORT_DELAY_S = 0.9
 REPORT_INTERVAL_S = 0.3
-LOAD_PATIENCE_S = 4.0
+LOAD_TIMEOUT_S = 4.0
 ORDER_RETRY_S = 1.2
 REPORT_RETRY_S = 0.2
 
 
 class WeightLoader:
-    """Orders of one leadership; each goes out within an open order window."""
+    """Load orders of one leadership, sent only within an open order window."""
 
     def __init__(
         self,
@@ -51,26 +51,26 @@
         self._metrics = metrics
         self._window = OrderWindow(node_id, ledger, order_windows)
 
-    def saw_versions(self, sampler_id: str, versions: dict[str, int]) -> None:
-        """A listing or report says which versions a sampler has."""
+    def record_versions(self, sampler_id: str, versions: dict[str, int]) -> None:
+        """Records the versions of a sampler from a listing or report."""
         models = self._scheduler.models_of(sampler_id)
         for model, version in versions.items():
             models.saw(model, version)
             self._metrics.sampler_version.labels(sampler_id, model).set(models.versions[model])
 
-    def forget(self, sampler_id: str) -> None:
-        """The sampler leaves or is gone."""
+    def forget_sampler(self, sampler_id: str) -> None:
+        """Removes the metrics of a sampler that is leaving or gone."""
         for model in self._scheduler.models_of(sampler_id).versions:
             self._metrics.sampler_version.remove(sampler_id, model)
 
     async def load(self, load: Load) -> None:
-        """Loads a version; the sampler counts as loading until this returns."""
+        """Executes a load; the sampler is marked as loading until this returns."""
         models = self._scheduler.models_of(load.sampler_id)
         try:
             outcome = await self._order(load)
             self._metrics.orders.labels(outcome.value).inc()
             if outcome is OrderOutcome.ACCEPTED:
-                await asyncio.sleep(LOAD_S)
+                await asyncio.sleep(FIRST_REPORT_DELAY_S)
             if outcome in (OrderOutcome.ACCEPTED, OrderOutcome.BUSY, OrderOutcome.UNKNOWN):
                 await self._await_version(load)
         finally:
@@ -85,7 +85,7 @@
         if report is None:
             self._planner.postpone(load.sampler_id, steady_time() + REPORT_RETRY_S)
             return OrderOutcome.REFUSED
-        self.saw_versions(load.sampler_id, report.model_versions)
+        self.record_versions(load.sampler_id, report.model_versions)
         if report.model_versions.get(load.model, 0) >= load.version:
             return OrderOutcome.HOLDS_ALREADY
         if report.busy:
@@ -120,9 +120,9 @@
         return outcome
 
     async def _await_version(self, load: Load) -> None:
-        """Asks for reports until the version is there, or nothing is under way any more."""
-        deadline = steady_time() + LOAD_PATIENCE_S
-        quiet = 0
+        """Polls reports until the version is loaded or the sampler is idle."""
+        deadline = steady_time() + LOAD_TIMEOUT_S
+        idle_reports = 0
         while steady_time() < deadline:
             belief = self._samplers.get(load.sampler_id)
             if belief is None:
@@ -130,10 +130,10 @@
             target = ControlTarget(load.sampler_id, belief.entry.address)
             report = await self._control.report(target)
             if report is not None:
-                self.saw_versions(load.sampler_id, report.model_versions)
+                self.record_versions(load.sampler_id, report.model_versions)
                 if report.model_versions.get(load.model, 0) >= load.version:
                     return
-                quiet = 0 if report.busy else quiet + 1
-                if quiet >= 2:
+                idle_reports = 0 if report.busy else idle_reports + 1
+                if idle_reports >= 2:
                     return
             await asyncio.sleep(REPORT_INTERVAL_S)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -522,8 +522,9 @@
         "the calls of an ended job go on",
         "scored items",
         "stileloom/jobs/runner.py",
-        "            self._rewards.drop(open_item.key)\n        self._writer.wake(job_id)",
-        "        self._writer.wake(job_id)",
+        "            self._rewards.drop(open_item.key)\n"
+        "        self._writer.notify_waiters(job_id)",
+        "        self._writer.notify_waiters(job_id)",
         f"{REWARDS}::RewardTest::test_the_calls_of_an_ended_job_stop",
     ),
     Mutant(
