--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -1,8 +1,8 @@
-"""Asks for the scores of whole texts while this node leads.
+"""Sends the reward calls of complete texts during one leadership.
 
-A reward call goes by the route of its host and path, through the same forwarder as lookups.
-It may run more than once, so it is asked again until there is a score, the samplers have
-failed it as often as its route allows attempts, or its item is dropped.
+A reward call follows the route of its host and path and uses the same forwarder as lookups. It is
+idempotent and is retried until a score arrives, its failed attempts reach the limit of the route,
+or its item is removed.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
 from stileloom.proxy.sampler_table import SamplerTable
 
 RETRY_S = 0.1
-"""Before a call that no sampler answered with a score is asked again."""
-QUARANTINED_S = 2.0
-"""Before a call that is refused since samplers ended under it is asked again."""
+"""Delay before a call without a score is retried."""
+QUARANTINE_RETRY_S = 2.0
+"""Delay before a call that was rejected as quarantined is retried."""
 FAILED_STATUS = 500
 
 
-class RewardOwner(Protocol):
-    """Whoever waits for scores."""
+class RewardListener(Protocol):
+    """Receives the outcome of reward calls."""
 
-    def scored(self, open_item: OpenItem, score: str) -> None:
-        """The score of an item's text has come."""
+    def on_scored(self, open_item: OpenItem, score: str) -> None:
+        """Handles the score of an item's text."""
 
-    def not_scored(self, open_item: OpenItem, reason: str) -> None:
-        """The samplers failed the call as often as its route allows."""
+    def on_reward_failed(self, open_item: OpenItem, reason: str) -> None:
+        """Handles a call whose failed attempts reached the limit of its route."""
 
 
 class PendingReward(msgspec.Struct):
-    """A reward call without a score so far."""
+    """A reward call without a score."""
 
     item: OpenItem
     call: RewardCall
-    whole_at: float
+    completed_at: float
     failures: int = 0
     tries: int = 0
     not_before: float = 0.0
@@ -66,7 +66,7 @@
         routes: RouteTable,
         samplers: SamplerTable,
         names: HeaderNames,
-        owner: RewardOwner,
+        listener: RewardListener,
         log: EventLog,
         metrics: JobMetrics,
     ) -> None:
@@ -74,18 +74,18 @@
         self._routes = routes
         self._samplers = samplers
         self._names = names
-        self._owner = owner
+        self._listener = listener
         self._log = log
         self._metrics = metrics
         self._pending: dict[ItemKey, PendingReward] = {}
         self._windows: dict[str, RewardWindow] = {}
 
     def __len__(self) -> int:
-        """Texts that wait for their score."""
+        """Returns the number of texts without a score."""
         return len(self._pending)
 
-    def ask(self, open_item: OpenItem, call: RewardCall) -> None:
-        """The item's text is whole: asks for its score, as soon as the service has room."""
+    def request_score(self, open_item: OpenItem, call: RewardCall) -> None:
+        """Queues the reward call of an item with a complete text."""
         if open_item.key in self._pending:
             return
         now = steady_time()
@@ -102,37 +102,37 @@
         )
         self.step(now)
 
-    def drop(self, key: ItemKey) -> None:
-        """Nobody waits for the item's score any more: its call ends."""
+    def cancel(self, key: ItemKey) -> None:
+        """Cancels the reward call of an item."""
         pending = self._pending.pop(key, None)
         if pending is not None and pending.task is not None:
             pending.task.cancel()
 
     def stop(self) -> None:
-        """Ends every call."""
+        """Cancels all reward calls."""
         for key in list(self._pending):
-            self.drop(key)
+            self.cancel(key)
 
     def step(self, now: float) -> None:
-        """Starts the calls that are due and have room, in the order in which texts were whole."""
+        """Starts due calls within the limits of their services, oldest text first."""
         for pending in list(self._pending.values()):
             if pending.task is not None or now < pending.not_before:
                 continue
             route = self._routes.match(pending.call.host, pending.call.path)
             if route is None or route.kind is RouteKind.BATCH:
-                # A configuration may bring the route back; until then the item waits.
+                # The call waits until a configuration change restores the route.
                 continue
             service = self._routes.choose_backend(route)
             window = self._windows.setdefault(service, RewardWindow())
-            if not window.may_start(now, self._places(service)):
+            if not window.may_start(now, self._total_slots(service)):
                 continue
             window.running += 1
             pending.tries += 1
             work = self._call(pending, route, service, window)
             pending.task = asyncio.get_running_loop().create_task(work)
-            pending.task.add_done_callback(partial(self._note_fault, pending))
+            pending.task.add_done_callback(partial(self._on_task_done, pending))
 
-    def _places(self, service: str) -> int:
+    def _total_slots(self, service: str) -> int:
         return sum(belief.entry.slots for belief in self._samplers.of_service(service))
 
     async def _call(
@@ -142,28 +142,28 @@
             answer = await self._forward(pending, route, service)
         except StileloomError as error:
             now = steady_time()
-            window.not_answered(now)
-            self._ask_again(pending, now, f"{error.kind.value}: {error.detail}")
+            window.record_overload(now)
+            self._schedule_retry(pending, now, f"{error.kind.value}: {error.detail}")
             if error.kind is ErrorKind.QUARANTINED:
-                pending.not_before = now + QUARANTINED_S
+                pending.not_before = now + QUARANTINE_RETRY_S
             return
         finally:
             window.running -= 1
-        window.answered()
-        self._judge(pending, answer, route.max_attempts)
+        window.record_answer()
+        self._handle_answer(pending, answer, route.max_attempts)
         self.step(steady_time())
 
-    def _note_fault(self, pending: PendingReward, task: asyncio.Task[None]) -> None:
-        """A fault of ours must not leave the item without its score for good."""
+    def _on_task_done(self, pending: PendingReward, task: asyncio.Task[None]) -> None:
+        """Logs an internal error and retries the call, so that the item still gets its score."""
         if task.cancelled() or task.exception() is None:
             return
         error = repr(task.exception())
         self._log.emit(LogEvent.INTERNAL_FAULT, {**self._log_fields(pending), "error": error})
         if self._pending.get(pending.item.key) is pending:
-            self._ask_again(pending, steady_time(), error)
+            self._schedule_retry(pending, steady_time(), error)
 
     async def _forward(self, pending: PendingReward, route: Route, service: str) -> LookupAnswer:
-        """One try, within the route's attempts and time; the call may run more than once."""
+        """Forwards the call once, with the attempts and timeout of its route."""
         call = pending.call
         now = steady_time()
         left_s = max(RETRY_S, min(route.timeout_s, pending.item.deadline - now))
@@ -172,21 +172,23 @@
         repeatable = msgspec.structs.replace(route, kind=RouteKind.SAFE)
         return await self._forwarder.forward(lookup, repeatable, service)
 
-    def _judge(self, pending: PendingReward, answer: LookupAnswer, max_attempts: int) -> None:
+    def _handle_answer(
+        self, pending: PendingReward, answer: LookupAnswer, max_attempts: int
+    ) -> None:
         status = answer.head.status
         score = answer.head.headers.get(self._names.signature, "")
         pending.failures += answer.failed_attempts
         if 200 <= status < 300 and score:
-            self._end(pending, "scored")
-            self._owner.scored(pending.item, score)
+            self._finish(pending, "scored")
+            self._listener.on_scored(pending.item, score)
         elif pending.failures >= max_attempts:
-            self._end(pending, "failed")
+            self._finish(pending, "failed")
             reason = f"its reward call failed {pending.failures} times"
-            self._owner.not_scored(pending.item, reason)
+            self._listener.on_reward_failed(pending.item, reason)
         else:
-            self._ask_again(pending, steady_time(), f"status {status}")
+            self._schedule_retry(pending, steady_time(), f"status {status}")
 
-    def _ask_again(self, pending: PendingReward, now: float, detail: str) -> None:
+    def _schedule_retry(self, pending: PendingReward, now: float, detail: str) -> None:
         pending.task = None
         pending.not_before = now + RETRY_S
         self._metrics.rewards.labels("asked_again").inc()
@@ -195,10 +197,10 @@
             {**self._log_fields(pending), "detail": detail},
         )
 
-    def _end(self, pending: PendingReward, outcome: str) -> None:
+    def _finish(self, pending: PendingReward, outcome: str) -> None:
         del self._pending[pending.item.key]
         self._metrics.rewards.labels(outcome).inc()
-        self._metrics.reward_wait.observe(steady_time() - pending.whole_at)
+        self._metrics.reward_wait.observe(steady_time() - pending.completed_at)
         self._log.emit(LogEvent.REWARD_ANSWERED, {**self._log_fields(pending), "outcome": outcome})
 
     def _log_fields(self, pending: PendingReward) -> dict[str, object]:
@@ -208,5 +210,5 @@
             "reward": pending.call.request_id,
             "tries": pending.tries,
             "failures": pending.failures,
-            "waited_ms": round((steady_time() - pending.whole_at) * 1000),
+            "waited_ms": round((steady_time() - pending.completed_at) * 1000),
         }
--- a/stileloom/jobs/reward_window.py
+++ b/stileloom/jobs/reward_window.py
@@ -1,45 +1,45 @@
-"""Bounds the reward calls of one service by what its samplers answer. No I/O, no clock.
+"""AIMD concurrency limit for the reward calls of one service. Performs no I/O, reads no clock.
 
-Lookups of the same service come from many gateways that this node does not see. The bound
-rises slowly while calls are answered and halves when samplers are full (AIMD), and it never
-takes more than a part of the places.
+The samplers also serve lookups from gateways whose load is unknown to this node. The limit
+increases additively while calls are answered and halves on overload. Calls use at most a fixed
+share of the slots, but one call is always allowed.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-MAX_SHARE_OF_PLACES = 0.5
-"""Of all places of a service's samplers; the others are left to lookups."""
-FIRST_LIMIT = 4.0
+MAX_SLOT_SHARE = 0.5
+"""Maximum share of the slots of a service's samplers; the rest is reserved for lookups."""
+INITIAL_LIMIT = 4.0
 MIN_LIMIT = 1.0
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 0.8
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.8
 
 
 class RewardWindow(msgspec.Struct):
-    """Reward calls under way at one service, and how many may be."""
+    """Running reward calls of one service and their limit."""
 
-    limit: float = FIRST_LIMIT
+    limit: float = INITIAL_LIMIT
     running: int = 0
-    paused_until: float = 0.0
-    """Monotonic seconds: the samplers were full or did not answer."""
-    pause_s: float = FIRST_PAUSE_S
+    backoff_until: float = 0.0
+    """Monotonic time until which no call starts after an overload or timeout."""
+    backoff_s: float = INITIAL_BACKOFF_S
 
-    def may_start(self, now: float, places: int) -> bool:
-        """Whether one more call may start; `places` are those of all samplers together."""
-        if now < self.paused_until:
+    def may_start(self, now: float, total_slots: int) -> bool:
+        """Whether another call may start; `total_slots` counts all samplers of the service."""
+        if now < self.backoff_until:
             return False
-        most = max(MIN_LIMIT, min(self.limit, places * MAX_SHARE_OF_PLACES))
-        return self.running + 1 <= most
+        limit = max(MIN_LIMIT, min(self.limit, total_slots * MAX_SLOT_SHARE))
+        return self.running + 1 <= limit
 
-    def answered(self) -> None:
-        """A sampler took a call and answered it."""
+    def record_answer(self) -> None:
+        """Raises the limit after an answered call."""
         self.limit += 1.0 / self.limit
-        self.pause_s = FIRST_PAUSE_S
+        self.backoff_s = INITIAL_BACKOFF_S
 
-    def not_answered(self, now: float) -> None:
-        """Every sampler was full, or none answered in time."""
+    def record_overload(self, now: float) -> None:
+        """Halves the limit and backs off after an overload or timeout."""
         self.limit = max(MIN_LIMIT, self.limit / 2)
-        self.paused_until = now + self.pause_s
-        self.pause_s = min(MAX_PAUSE_S, self.pause_s * 2)
+        self.backoff_until = now + self.backoff_s
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -319,7 +319,7 @@
         self._metrics.job_time.observe(steady_time() - self._adopted[job_id])
         for open_item in self.scheduler.drop_job(job_id):
             self._stop_run(open_item, "job ended")
-            self._rewards.drop(open_item.key)
+            self._rewards.cancel(open_item.key)
         self._writer.notify_waiters(job_id)
 
     # Runs.
@@ -481,20 +481,20 @@
             self._finish(open_item, ItemState.SUCCEEDED, "")
             return
         self._writer.save_complete_text(open_item)
-        self._rewards.ask(open_item, reward)
+        self._rewards.request_score(open_item, reward)
 
-    def scored(self, open_item: OpenItem, score: str) -> None:
+    def on_scored(self, open_item: OpenItem, score: str) -> None:
         """Lists a complete text with its score."""
         self._finish(open_item, ItemState.SUCCEEDED, "", score)
 
-    def not_scored(self, open_item: OpenItem, reason: str) -> None:
+    def on_reward_failed(self, open_item: OpenItem, reason: str) -> None:
         """Gives up an item whose reward call failed."""
         self._finish(open_item, ItemState.GIVEN_UP, reason)
 
     def _finish(self, open_item: OpenItem, state: ItemState, reason: str, score: str = "") -> None:
         if open_item.run is not None:
             self._stop_run(open_item, reason)
-        self._rewards.drop(open_item.key)
+        self._rewards.cancel(open_item.key)
         open_item.finished = True
         succeeded = state is ItemState.SUCCEEDED
         result = FinishedItem(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -494,9 +494,9 @@
         "an item gets the score of another one",
         "scored items",
         "stileloom/jobs/reward_caller.py",
-        "            self._owner.scored(pending.item, score)",
+        "            self._listener.on_scored(pending.item, score)",
         "            other = next(iter(self._pending.values()), pending)\n"
-        "            self._owner.scored(other.item, score)",
+        "            self._listener.on_scored(other.item, score)",
         f"{REWARDS}::RewardTest::test_results_carry_the_score_of_a_call_made_after_the_last_event",
     ),
     Mutant(
@@ -506,7 +506,7 @@
         "        self.scheduler.record_event(open_item, now)",
         "        self.scheduler.record_event(open_item, now)\n"
         "        if open_item.item.reward is not None:\n"
-        "            self._rewards.ask(open_item, open_item.item.reward)",
+        "            self._rewards.request_score(open_item, open_item.item.reward)",
         f"{REWARDS}::RewardTest::test_results_carry_the_score_of_a_call_made_after_the_last_event",
     ),
     Mutant(
@@ -522,7 +522,7 @@
         "the calls of an ended job go on",
         "scored items",
         "stileloom/jobs/runner.py",
-        "            self._rewards.drop(open_item.key)\n"
+        "            self._rewards.cancel(open_item.key)\n"
         "        self._writer.notify_waiters(job_id)",
         "        self._writer.notify_waiters(job_id)",
         f"{REWARDS}::RewardTest::test_the_calls_of_an_ended_job_stop",
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -1,4 +1,4 @@
-"""Reward calls: an item succeeds only with the score of its whole text."""
+"""Reward calls: an item succeeds only with the score of its complete text."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 from stileloom.jobs.book import JobBook
 from stileloom.jobs.intake import reusable_results
 from stileloom.jobs.reward_window import (
-    FIRST_LIMIT,
-    FIRST_PAUSE_S,
-    MAX_PAUSE_S,
-    MAX_SHARE_OF_PLACES,
+    INITIAL_BACKOFF_S,
+    INITIAL_LIMIT,
+    MAX_BACKOFF_S,
+    MAX_SLOT_SHARE,
     RewardWindow,
 )
 from stileloom.jobs.submission_check import check_submission
@@ -51,25 +51,25 @@
 
 
 def samplers(cluster: ServiceCluster, names: tuple[str, ...]) -> list[HttpSampler]:
-    """Samplers by name."""
+    """Returns samplers by name."""
     return [cluster.samplers[name] for name in names]
 
 
 def runs_at(cluster: ServiceCluster, names: tuple[str, ...]) -> list[RunRecord]:
-    """All that these samplers ran."""
+    """Returns all requests that these samplers ran."""
     return [run for sampler in samplers(cluster, names) for run in sampler.runs]
 
 
 def items_named(count: int) -> list[str]:
-    """Ids of items."""
+    """Returns item ids."""
     return [f"i{number}" for number in range(count)]
 
 
 class RewardTest(testtools.TestCase):
-    """Gateways, ledger nodes and samplers over sockets."""
+    """Reward calls in a cluster of gateways, ledger nodes and samplers over sockets."""
 
     def check_scores(self, results: list[list[Any]]) -> None:
-        """Each result is whole and has the score of its own reward call."""
+        """Checks that each result has its complete text and the score of its own call."""
         for item_id, state, text, _, score in results:
             self.assertEqual("succeeded", state)
             self.assertEqual("\n".join(expected_events(str(item_id), EVENTS)), text)
@@ -93,7 +93,7 @@
 
         with_cluster(scenario)
 
-    def test_a_scoring_service_that_is_full_or_silent_delays_results_and_loses_none(self) -> None:
+    def test_a_full_or_unresponsive_scoring_service_delays_results_and_loses_none(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             full, silent = samplers(cluster, SCORERS)
             full.faults.refuse = True
@@ -159,14 +159,14 @@
             await cluster.until(lambda: len(rewards) == 0)
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
-            # What runs after this has passed the loop of the leader several times.
+            # The leader has run several scheduling steps by the time the next job completes.
             await cluster.submit("next", ["n1"], rewards=True)
             await cluster.results("next", 1)
             self.assertEqual(["score-n1"], [call.request_id for call in runs_at(cluster, SCORERS)])
 
         with_cluster(scenario)
 
-    def test_a_carried_item_keeps_its_text_while_its_score_is_missing(self) -> None:
+    def test_a_reused_item_keeps_its_text_while_its_score_is_missing(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = True
@@ -187,7 +187,7 @@
         with_cluster(scenario)
 
     def test_a_carried_item_whose_result_is_known_does_not_run_again(self) -> None:
-        """It ran on after its job had ended, and asked for its reward then."""
+        """Guards against runs and reward calls that continue after their job has ended."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             items = items_named(4)
@@ -204,7 +204,7 @@
 
         with_cluster(scenario)
 
-    def test_a_route_that_was_dropped_and_comes_back_elsewhere_is_followed(self) -> None:
+    def test_a_removed_route_that_returns_with_another_backend_is_followed(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.write("configuration", "main", configuration(2, path_prefix="/other/"))
             node = cluster.ledger_nodes[cluster.leader() or ""]
@@ -227,7 +227,7 @@
     def test_a_fault_of_our_own_in_a_call_is_told_and_the_call_is_made_again(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             leader = cluster.ledger_nodes[cluster.leader() or ""]
-            told: list[LogEvent] = []
+            events: list[LogEvent] = []
             forward = leader._forwarder.forward
             faults = [ValueError("a fault")]
 
@@ -237,7 +237,7 @@
                 return await forward(*arguments)
 
             def note(event: LogEvent, fields: dict[str, object]) -> None:
-                told.append(event)
+                events.append(event)
 
             with (
                 mock.patch.object(leader._forwarder, "forward", failing),
@@ -245,11 +245,11 @@
             ):
                 await cluster.submit("job", ["i1"], rewards=True)
                 self.check_scores(await cluster.results("job", 1))
-            self.assertIn(LogEvent.INTERNAL_FAULT, told)
+            self.assertIn(LogEvent.INTERNAL_FAULT, events)
 
         with_cluster(scenario)
 
-    def test_calls_leave_places_of_the_service_to_lookups(self) -> None:
+    def test_calls_leave_slots_of_the_service_to_lookups(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             gauge = WorkGauge()
             for sampler in samplers(cluster, SCORERS):
@@ -257,7 +257,7 @@
                 sampler.gauge = gauge
             await cluster.submit("job", items_named(40), rewards=True)
             self.check_scores(await cluster.results("job", 40))
-            self.assertEqual(int(2 * SLOTS * MAX_SHARE_OF_PLACES), gauge.most_running)
+            self.assertEqual(int(2 * SLOTS * MAX_SLOT_SHARE), gauge.most_running)
 
         with_cluster(scenario)
 
@@ -293,7 +293,7 @@
         with_cluster(scenario)
 
     def job_body(self, rows: list[list[Any]]) -> bytes:
-        """A job whose items have these reward calls."""
+        """Encodes a job whose items have these reward calls."""
         items = [
             [item, f"/drafts/{item}", {"model": MODEL}, "eA==", "g", reward]
             for item, reward in rows
@@ -302,36 +302,36 @@
 
 
 class RewardWindowTest(testtools.TestCase):
-    """How many calls are under way at one service."""
+    """Concurrency limit of the reward calls of one service."""
 
-    def test_it_rises_with_answers_and_halves_when_samplers_are_full(self) -> None:
+    def test_it_increases_with_answers_and_halves_on_overload(self) -> None:
         window = RewardWindow()
         for _ in range(100):
-            window.answered()
+            window.record_answer()
         risen = window.limit
-        self.assertGreater(risen, FIRST_LIMIT)
-        window.not_answered(10.0)
+        self.assertGreater(risen, INITIAL_LIMIT)
+        window.record_overload(10.0)
         self.assertEqual(risen / 2, window.limit)
         self.assertFalse(window.may_start(10.0, 1000))
-        self.assertTrue(window.may_start(10.0 + FIRST_PAUSE_S, 1000))
+        self.assertTrue(window.may_start(10.0 + INITIAL_BACKOFF_S, 1000))
 
-    def test_it_never_takes_more_than_its_share_of_the_places_and_at_least_one(self) -> None:
+    def test_it_allows_at_least_one_call_and_at_most_its_share_of_the_slots(self) -> None:
         window = RewardWindow(limit=100.0)
         started = 0
         while window.may_start(0.0, 24):
             window.running += 1
             started += 1
-        self.assertEqual(24 * MAX_SHARE_OF_PLACES, started)
+        self.assertEqual(24 * MAX_SLOT_SHARE, started)
         self.assertTrue(RewardWindow().may_start(0.0, 0))
         for _ in range(20):
-            window.not_answered(0.0)
-        self.assertEqual(MAX_PAUSE_S, window.pause_s)
+            window.record_overload(0.0)
+        self.assertEqual(MAX_BACKOFF_S, window.backoff_s)
         window.running = 0
-        self.assertTrue(window.may_start(MAX_PAUSE_S, 24))
+        self.assertTrue(window.may_start(MAX_BACKOFF_S, 24))
 
 
 class RecordTest(testtools.TestCase):
-    """What the ledger keeps of texts and scores."""
+    """Texts and scores in the job registry, and checks of submitted items."""
 
     def submission(self, job_id: str, reward_id: str = "s1") -> JobSubmission:
         """A job of one item with a reward call."""
@@ -339,7 +339,7 @@
         item = JobItem("i1", "/p", {}, b"", "g", reward)
         return JobSubmission(job_id, "h", "/p", 0, "m", 1, 1, [item])
 
-    def test_a_saved_text_and_a_later_score_make_the_result(self) -> None:
+    def test_a_result_combines_a_saved_text_and_a_later_score(self) -> None:
         book = JobBook()
         book.submit(self.submission("j"))
         book.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
@@ -348,7 +348,7 @@
         (result,) = book.jobs["j"].results
         self.assertEqual(("a\nb", [3], "stamp"), (result.text, result.versions, result.score))
 
-    def test_a_carried_result_is_used_again_only_for_the_same_reward_call(self) -> None:
+    def test_a_result_is_reused_only_for_the_same_reward_call(self) -> None:
         book = JobBook()
         book.submit(self.submission("j"))
         book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "stamp")])
@@ -373,7 +373,7 @@
 
 
 class SubmissionTest(testtools.TestCase):
-    """What a proper request may hold."""
+    """Valid submissions."""
 
     def test_a_header_value_may_hold_a_tab(self) -> None:
         item = JobItem("i", "/p", {"A": "b\tc"}, b"", "g")
@@ -381,9 +381,9 @@
 
 
 class TraceTest(testtools.TestCase):
-    """From an item's id to its reward call."""
+    """Log lines of an item include those of its reward call."""
 
-    def test_an_items_story_has_the_lines_of_its_reward_call(self) -> None:
+    def test_the_trace_of_an_item_includes_its_reward_call(self) -> None:
         lines = [
             {"event": "reward_asked", "item": "i1", "job": "j", "reward": "s1"},
             {"event": "attempt_failed", "request": "s1", "sampler": "x"},
