--- a/stileloom/jobs/__init__.py
+++ b/stileloom/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: replicated record, scheduling, runs of items, loads of weight versions."""
+"""Batch jobs: replicated registry, scheduling, item runs and weight loads."""
--- a/stileloom/jobs/book.py
+++ b/stileloom/jobs/book.py
@@ -1,4 +1,4 @@
-"""The replicated record of batch jobs. Deterministic: no clock, no random numbers."""
+"""Replicated registry of batch jobs. Deterministic: uses no clock and no random numbers."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 
 
 def result_size(result: ItemResult) -> int:
-    """Bytes of a result in an answer, at most: characters may be escaped."""
+    """Returns an upper estimate of a result's encoded size, allowing for escaped characters."""
     return 2 * len(result.text) + 200
 
 
 class JobRecord(msgspec.Struct):
-    """One job and its results so far."""
+    """A job with its listed results and saved progress."""
 
     submission: JobSubmission
     results: list[ItemResult] = msgspec.field(default_factory=list)
     listed: set[str] = msgspec.field(default_factory=set)
     ended: bool = False
     progress: dict[str, PartialText] = msgspec.field(default_factory=dict)
-    """Saved events of items that are not listed, by item id."""
+    """Saved events of items without a listed result, by item id."""
 
     @property
     def is_open(self) -> bool:
-        """Whether items still have to run."""
+        """Whether the job has not ended and has items without a result."""
         return not self.ended and len(self.results) < len(self.submission.items)
 
     def item(self, item_id: str) -> JobItem | None:
-        """An item by its id."""
+        """Returns an item by its id."""
         for item in self.submission.items:
             if item.item_id == item_id:
                 return item
         return None
 
     def page(self, position: int) -> ResultPage:
-        """Results from a position on, at least one if there is one, up to `PAGE_BYTES`."""
+        """Returns results from a position, up to `PAGE_BYTES` but at least one if available."""
         chosen: list[ItemResult] = []
         size = 0
         for result in self.results[position:]:
@@ -62,17 +62,17 @@
 
     jobs: dict[str, JobRecord] = msgspec.field(default_factory=dict)
     interval_s: dict[str, float] = msgspec.field(default_factory=dict)
-    """Time between two events at each sampler, as the last leader measured it."""
+    """Event interval of each sampler as recorded by the last leader."""
 
     def submit(self, submission: JobSubmission) -> bool:
-        """Takes a job once; False where it was taken before."""
+        """Adds a job; returns False if it was added before."""
         if submission.job_id in self.jobs:
             return False
         self.jobs[submission.job_id] = JobRecord(submission)
         return True
 
     def save(self, job_id: str, items: list[ItemProgress]) -> None:
-        """Adds events to what is saved of items that are not listed yet."""
+        """Saves events of items without a listed result."""
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -86,7 +86,7 @@
             saved.whole = item.whole
 
     def record(self, job_id: str, finished: list[FinishedItem]) -> None:
-        """Lists results of items that are not listed yet, in the order given."""
+        """Lists results in the given order, except for items that have one."""
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -103,7 +103,7 @@
             )
 
     def end(self, job_id: str) -> bool:
-        """Ends a job; False where there is none."""
+        """Ends a job; returns False if it does not exist."""
         job = self.jobs.get(job_id)
         if job is None:
             return False
@@ -111,5 +111,5 @@
         return True
 
     def forget(self, job_id: str) -> None:
-        """Drops a job that nobody may ask for any more."""
+        """Removes a job after its retention period."""
         self.jobs.pop(job_id, None)
--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -1,4 +1,4 @@
-"""A gateway's side of job calls: finds the ledger's leader and asks again where it is safe."""
+"""Client of the job service: finds the ledger's leader and retries idempotent calls."""
 
 from __future__ import annotations
 
@@ -22,53 +22,53 @@
 from stileloom.transport.calls import CallConnections, CallFailed
 
 CALL_TIMEOUT_S = 1.2
-"""Time for one answer: a commit takes some milliseconds, an election up to two seconds."""
+"""Timeout of one attempt."""
 RETRY_PAUSE_S = 0.1
 RETRY_AFTER_S = 0.3
 
 
 class LedgerNodes:
-    """Addresses of ledger nodes, from settings and the store, and who leads."""
+    """Known addresses of ledger nodes and of the current leader."""
 
     def __init__(self, seeds: list[tuple[str, int]]) -> None:
         self.leader: tuple[str, int] | None = None
         self._addresses = list(seeds)
-        self._reserve: list[tuple[str, int]] = []
-        """Seeds that the store does not list: asked once all others were silent."""
-        self._silent_in_a_row = 0
-        self._turn = 0
+        self._fallback_addresses: list[tuple[str, int]] = []
+        """Addresses not listed in the object store, tried after all listed nodes have failed."""
+        self._consecutive_failures = 0
+        self._round_robin_index = 0
 
     def learn(self, addresses: list[tuple[str, int]]) -> None:
-        """Takes the store's list; a seed that is not in it may be gone for good."""
+        """Replaces the addresses; those no longer listed remain as fallback."""
         if not addresses:
             return
-        known = [*self._addresses, *self._reserve]
+        known = [*self._addresses, *self._fallback_addresses]
         self._addresses = list(addresses)
-        self._reserve = [address for address in known if address not in addresses]
+        self._fallback_addresses = [address for address in known if address not in addresses]
 
-    def answered(self) -> None:
-        """A node answered, whatever it said."""
-        self._silent_in_a_row = 0
+    def record_answer(self) -> None:
+        """Resets the failure count after any answer."""
+        self._consecutive_failures = 0
 
-    def silent(self) -> None:
-        """A node did not answer."""
-        self._silent_in_a_row += 1
+    def record_failure(self) -> None:
+        """Counts a node that did not answer."""
+        self._consecutive_failures += 1
 
     def next_target(self) -> tuple[str, int] | None:
-        """The leader, or the next node in turn."""
+        """Returns the leader if known, else the next node in round-robin order."""
         if self.leader is not None:
             return self.leader
         addresses = self._addresses
-        if self._silent_in_a_row >= len(addresses):
-            addresses = [*addresses, *self._reserve]
+        if self._consecutive_failures >= len(addresses):
+            addresses = [*addresses, *self._fallback_addresses]
         if not addresses:
             return None
-        self._turn += 1
-        return addresses[self._turn % len(addresses)]
+        self._round_robin_index += 1
+        return addresses[self._round_robin_index % len(addresses)]
 
 
 class JobClient:
-    """Sends job calls to the leader. All calls are idempotent."""
+    """Sends job calls to the leader; all calls are idempotent."""
 
     def __init__(
         self,
@@ -80,44 +80,47 @@
         self._log = log
         self._on_lost_leader = on_lost_leader
         self._connections = CallConnections()
-        self._silent: set[tuple[str, int]] = set()
+        self._unresponsive: set[tuple[str, int]] = set()
 
     async def call(self, request: JobRequest, request_id: str, timeout_s: float) -> JobReply:
-        """The leader's answer; `request_id` is the caller's, empty for a call of the node's own.
+        """Returns the leader's answer.
 
-        Raises `StileloomError` (LEDGER_UNAVAILABLE): outcome NOT_RUN where no node can have
-        reused the call out, UNKNOWN otherwise.
+        `request_id` is the id of the caller's request, or empty for internal calls of this node.
+        Raises `StileloomError` (LEDGER_UNAVAILABLE) with outcome NOT_RUN if no node can have
+        executed the call, and UNKNOWN otherwise.
         """
         deadline = steady_time() + timeout_s
         may_have_run = False
-        tries = 0
+        attempts = 0
         while True:
-            left_s = deadline - steady_time()
-            if left_s <= 0:
+            remaining_s = deadline - steady_time()
+            if remaining_s <= 0:
                 break
             target = self._nodes.next_target()
             if target is not None:
-                tries += 1
+                attempts += 1
                 try:
-                    reply = await self._call_node(target, request, left_s)
-                    self._note_answer(target)
+                    reply = await self._call_node(target, request, remaining_s)
+                    self._handle_answer(target)
                     if not isinstance(reply, NotLeader | OutcomeUnknown):
                         self._nodes.leader = target
                         return reply
                     may_have_run |= isinstance(reply, OutcomeUnknown)
-                    moved = self._note_not_leader(target, reply)
-                    if moved:
+                    has_hint = self._follow_leader_hint(target, reply)
+                    if has_hint:
                         continue
                 except CallFailed as failure:
                     may_have_run |= failure.sent
-                    self._note_silent(target, request_id, str(failure))
+                    self._handle_failure(target, request_id, str(failure))
             await asyncio.sleep(min(RETRY_PAUSE_S, max(0.0, deadline - steady_time())))
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
-        detail = f"no leader answered in {tries} tries"
+        detail = f"no ledger leader answered after {attempts} attempts"
         raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, detail, outcome, RETRY_AFTER_S)
 
-    def _note_not_leader(self, target: tuple[str, int], reply: NotLeader | OutcomeUnknown) -> bool:
-        """Follows a hint; False where there is none."""
+    def _follow_leader_hint(
+        self, target: tuple[str, int], reply: NotLeader | OutcomeUnknown
+    ) -> bool:
+        """Adopts the leader named in a reply; returns False if it names none."""
         self._nodes.leader = None
         hint = reply.leader if isinstance(reply, NotLeader) else ""
         if not hint or split_address(hint) == target:
@@ -125,23 +128,22 @@
         self._nodes.leader = split_address(hint)
         return True
 
-    def _note_answer(self, target: tuple[str, int]) -> None:
-        self._nodes.answered()
-        if target in self._silent:
-            self._silent.discard(target)
+    def _handle_answer(self, target: tuple[str, int]) -> None:
+        self._nodes.record_answer()
+        if target in self._unresponsive:
+            self._unresponsive.discard(target)
             fields: dict[str, object] = {"ledger_node": f"{target[0]}:{target[1]}"}
             self._log.emit(LogEvent.LEDGER_NODE_REGAINED, fields)
 
-    def _note_silent(self, target: tuple[str, int], request_id: str, detail: str) -> None:
+    def _handle_failure(self, target: tuple[str, int], request_id: str, detail: str) -> None:
         if self._nodes.leader == target:
             self._nodes.leader = None
-        self._nodes.silent()
+        self._nodes.record_failure()
         self._on_lost_leader()
-        known = target in self._silent
-        self._silent.add(target)
-        if known and not request_id:
-            # A call of the node's own is no part of a request's story: one line until the node
-            # answers again, where a gateway without a leader wrote ten a second.
+        already_logged = target in self._unresponsive
+        self._unresponsive.add(target)
+        if already_logged and not request_id:
+            # Internal calls are retried continuously; log one line until the node answers again.
             return
         self._log.emit(
             LogEvent.LEDGER_NODE_SILENT,
@@ -149,18 +151,18 @@
         )
 
     async def _call_node(
-        self, target: tuple[str, int], request: JobRequest, left_s: float
+        self, target: tuple[str, int], request: JobRequest, remaining_s: float
     ) -> JobReply:
         timeout_s = CALL_TIMEOUT_S
         if isinstance(request, ReadResultsCall | WatchQuarantineCall):
             timeout_s += request.wait_s
         elif isinstance(request, SubmitJobCall):
             timeout_s += CALL_TIMEOUT_S
-        reply = await self._connections.call(target, request, min(timeout_s, left_s))
+        reply = await self._connections.call(target, request, min(timeout_s, remaining_s))
         if not isinstance(reply, JobReply):
-            raise CallFailed("an answer to another call", sent=True)
+            raise CallFailed("reply does not match the call", sent=True)
         return reply
 
     def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         self._connections.close()
--- a/stileloom/jobs/engine_control.py
+++ b/stileloom/jobs/engine_control.py
@@ -1,4 +1,4 @@
-"""Calls to a sampler's control side: reports and orders."""
+"""Client of a sampler's control interface: reports and load orders."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What a sampler said to an order."""
+    """A sampler's answer to a load order."""
 
     ACCEPTED = "accepted"
-    HOLDS_ALREADY = "holds_already"
+    ALREADY_LOADED = "holds_already"
     BUSY = "busy"
-    """Another order is under way, or one came in between."""
+    """Another order is in progress or was accepted in between."""
     FENCED = "fenced"
     REFUSED = "refused"
     GONE = "gone"
-    """Another sampler has the address."""
+    """The address belongs to another sampler."""
     UNKNOWN = "unknown"
-    """No answer: it may be reused out, even seconds later."""
+    """No answer; the order may still be executed, even seconds later."""
 
 
 _OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     409: OrderOutcome.BUSY,
     412: OrderOutcome.FENCED,
@@ -40,21 +40,21 @@
 
 
 class ControlTarget(msgspec.Struct, frozen=True):
-    """A sampler's incarnation and address."""
+    """Incarnation and address of a sampler."""
 
     sampler_id: str
     address: tuple[str, int]
 
 
 class EngineControl:
-    """Sends control calls over kept connections."""
+    """Sends control calls over keep-alive connections."""
 
     def __init__(self, dialect: Dialect, pool: ConnectionPool) -> None:
         self._dialect = dialect
         self._pool = pool
 
     async def report(self, target: ControlTarget) -> SamplerReport | None:
-        """The sampler's report, or None where it gave none."""
+        """Returns the sampler's report, or None if there was no valid answer."""
         answer = await self._call(target, self._dialect.report_call())
         if answer is None or answer.head.status != 200:
             return None
@@ -63,7 +63,7 @@
     async def order(
         self, target: ControlTarget, order: LoadOrder, may_send: Callable[[], bool]
     ) -> OrderOutcome:
-        """Gives an order; `may_send` is asked right before the first byte leaves."""
+        """Sends a load order; `may_send` is checked right before the first byte is written."""
         try:
             answer = await self._call(target, self._dialect.order_call(order), may_send)
         except NotSent:
--- a/stileloom/jobs/intake.py
+++ b/stileloom/jobs/intake.py
@@ -1,4 +1,4 @@
-"""What a leader learns of a job when it takes it up: sizes of items, results to list again."""
+"""Adoption of a job by a leader: size estimates of its items and reusable results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def item_size(headers: dict[str, str], names: HeaderNames) -> ItemSize:
-    """Prompt and expected output: the caller's hint, or half of what it allows."""
+    """Estimates the size of an item from the length hint, or half of its token limit."""
     by_name = {name.lower(): value for name, value in headers.items()}
     usage = [_tokens(part) for part in by_name.get(names.token_usage.lower(), "").split(",")]
     prompt, limit = (usage[0], usage[1]) if len(usage) == 2 else (None, None)
@@ -25,7 +25,7 @@
 
 
 def reusable_results(book: JobBook, record: JobRecord, single_version: bool) -> list[FinishedItem]:
-    """Results of earlier jobs for items that this job carries, where their versions fit."""
+    """Finds acceptable results of other_job jobs for items that this job reuses."""
     wanted = {
         item.item_id: item.reward
         for item in record.submission.items
@@ -33,18 +33,18 @@
     }
     min_version = record.submission.min_version
     found: list[FinishedItem] = []
-    for other in book.jobs.values():
-        if other is record or other.submission.model != record.submission.model:
+    for other_job in book.jobs.values():
+        if other_job is record or other_job.submission.model != record.submission.model:
             continue
-        rewards = {item.item_id: item.reward for item in other.submission.items}
-        for result in other.results:
+        rewards = {item.item_id: item.reward for item in other_job.submission.items}
+        for result in other_job.results:
             if result.item_id not in wanted or result.state is not ItemState.SUCCEEDED:
                 continue
             too_old = any(version < min_version for version in result.versions)
             if too_old or (single_version and len(result.versions) > 1):
                 continue
             if rewards[result.item_id] != wanted[result.item_id]:
-                # The score answers another reward call.
+                # The score belongs to a different reward call.
                 continue
             del wanted[result.item_id]
             found.append(
@@ -56,7 +56,7 @@
 
 
 def _tokens(text: str) -> float | None:
-    """A number of tokens, or None where the text is none."""
+    """Parses a number of tokens; returns None if it is invalid."""
     try:
         value = float(text)
     except ValueError:
--- a/stileloom/jobs/item_request.py
+++ b/stileloom/jobs/item_request.py
@@ -1,4 +1,4 @@
-"""The request that runs an item at a sampler, or goes on where its text ends."""
+"""Encodes the request that runs an item on a sampler or resumes it after its last event."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def encode_item_request(
-    open_item: OpenItem, host: str, sampler_id: str, left_s: float, names: HeaderNames
+    open_item: OpenItem, host: str, sampler_id: str, remaining_s: float, names: HeaderNames
 ) -> bytes:
-    """The item's own headers and body; ours take the place of headers of the same name.
+    """Encodes the item's headers and body; headers set here replace those of the same name.
 
-    `left_s` is the time until the item may be given up.
+    `remaining_s` is the time until the item's deadline.
     """
     item = open_item.item
-    own = {
+    replaced = {
         names.request_id.lower(),
         names.expect_sampler.lower(),
         names.deadline_ms.lower(),
@@ -24,10 +24,12 @@
     }
     headers = [("Host", host), (names.request_id, item.item_id)]
     headers += [
-        (name, value) for name, value in end_to_end(item.headers.items()) if name.lower() not in own
+        (name, value)
+        for name, value in end_to_end(item.headers.items())
+        if name.lower() not in replaced
     ]
-    left_ms = max(1, int(left_s * 1000))
-    headers += [(names.deadline_ms, str(left_ms)), (names.expect_sampler, sampler_id)]
+    remaining_ms = max(1, int(remaining_s * 1000))
+    headers += [(names.deadline_ms, str(remaining_ms)), (names.expect_sampler, sampler_id)]
     if open_item.partial.last_event_id is not None:
         headers.append((names.last_event_id, str(open_item.partial.last_event_id)))
     return encode_request("POST", item.path, headers, item.body)
--- a/stileloom/jobs/item_stream.py
+++ b/stileloom/jobs/item_stream.py
@@ -1,4 +1,4 @@
-"""One run of an item: reads the sampler's stream and keeps the chain of events whole."""
+"""Reads the event stream of one run and checks that its events are contiguous."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class RunOutcome(enum.Enum):
-    """How a run ended."""
+    """Outcome of a run."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
-    """The sampler did not run it."""
+    """The sampler did not run the item."""
     MISDIRECTED = "misdirected"
-    """Another sampler, or another version of the weights, has the address."""
+    """The address belongs to another sampler or another version of the weights."""
     FAILED = "failed"
-    """A 500: a failed attempt of the item itself."""
+    """Status 500, a failed attempt of the item."""
     IMPOSSIBLE = "impossible"
-    """The sampler says that the item can never be done."""
+    """Status 422: the sampler can never run the item."""
     TOO_OLD = "too_old"
-    """The sampler's weights are older than the job allows."""
+    """The sampler's weights are older than the job accepts."""
     BROKEN = "broken"
-    """The stream ended early or was no stream; it goes on elsewhere."""
+    """The stream was invalid or ended early; the item is resumed on another sampler."""
 
 
 class ItemStream:
-    """Takes one response; tells each event, and the outcome once."""
+    """Processes one response; reports each event, and the outcome exactly once."""
 
     def __init__(
         self,
@@ -51,50 +51,50 @@
         self._on_outcome = on_outcome
         self._parser = EventStreamParser(names.versions)
         self._head: ResponseHead | None = None
-        self._over = False
+        self._ended = False
 
     def on_head(self, head: ResponseHead) -> None:
-        """The status and headers."""
+        """Handles the status and headers."""
         self._head = head
         if head.headers.get(self._names.request_id, self._item_id) != self._item_id:
-            self._end(RunOutcome.BROKEN, "answer to another request")
+            self._finish(RunOutcome.BROKEN, "answer to another request")
         elif head.status == 200:
             text = head.headers.get(self._names.versions, "").strip()
             if not text.isdecimal():
-                self._end(RunOutcome.BROKEN, "no version")
+                self._finish(RunOutcome.BROKEN, "response has no weight version")
             else:
-                self._note_version(int(text))
+                self._update_version(int(text))
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        if self._over or self._head is None or self._head.status != 200:
+        """Handles a part of the body."""
+        if self._ended or self._head is None or self._head.status != 200:
             return
         try:
             for event in self._parser.feed(data):
                 if event.version is not None:
-                    self._note_version(event.version)
-                if self._over:
+                    self._update_version(event.version)
+                if self._ended:
                     return
                 self._partial.add(event.event_id, event.data, self.version)
                 self._on_event(event.event_id)
         except (MalformedEvent, BrokenChain) as error:
-            self._end(RunOutcome.BROKEN, str(error))
+            self._finish(RunOutcome.BROKEN, str(error))
 
     def on_end(self, end: ExchangeEnd) -> None:
-        """Nothing more follows."""
-        if self._over:
+        """Handles the end of the response."""
+        if self._ended:
             return
         if end is not ExchangeEnd.COMPLETE or self._head is None:
-            self._end(RunOutcome.BROKEN, end.value)
+            self._finish(RunOutcome.BROKEN, end.value)
         elif self._head.status == 200:
             if self._parser.has_partial or self._partial.last_event_id is None:
-                self._end(RunOutcome.BROKEN, "ended within an event")
+                self._finish(RunOutcome.BROKEN, "ended within an event")
             else:
-                self._end(RunOutcome.WHOLE, "")
+                self._finish(RunOutcome.COMPLETE, "")
         else:
-            self._end(*self._judge_status(self._head))
+            self._finish(*self._classify_status(self._head))
 
-    def _judge_status(self, head: ResponseHead) -> tuple[RunOutcome, str]:
+    def _classify_status(self, head: ResponseHead) -> tuple[RunOutcome, str]:
         detail = str(head.status)
         if head.status == 421:
             return RunOutcome.MISDIRECTED, detail
@@ -106,12 +106,12 @@
             return RunOutcome.IMPOSSIBLE, detail
         return RunOutcome.BROKEN, detail
 
-    def _note_version(self, version: int) -> None:
+    def _update_version(self, version: int) -> None:
         self.version = version
         if version < self._min_version:
-            self._end(RunOutcome.TOO_OLD, f"version {version} below {self._min_version}")
+            self._finish(RunOutcome.TOO_OLD, f"version {version} below {self._min_version}")
 
-    def _end(self, outcome: RunOutcome, detail: str) -> None:
-        if not self._over:
-            self._over = True
+    def _finish(self, outcome: RunOutcome, detail: str) -> None:
+        if not self._ended:
+            self._ended = True
             self._on_outcome(outcome, detail)
--- a/stileloom/jobs/leader_ledger.py
+++ b/stileloom/jobs/leader_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger as the parts of a leader see it."""
+"""Ledger interface of the components that run on the leader."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class LeaderLedger(Protocol):
-    """Commits commands of one leadership."""
+    """Commits commands during one leadership."""
 
     def may_act(self) -> bool:
-        """Whether this replica leads and holds its lease now."""
+        """Whether this replica is the leader and holds its lease."""
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
--- a/stileloom/jobs/messages.py
+++ b/stileloom/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Calls from gateways to the ledger's leader about batch jobs, and their answers."""
+"""Job calls from gateways to the ledger's leader, and their replies."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class SubmitJobCall(msgspec.Struct, frozen=True, tag=True):
-    """Take this job; safe to repeat."""
+    """Submits a job; idempotent."""
 
     submission: JobSubmission
 
 
 class ReadResultsCall(msgspec.Struct, frozen=True, tag=True):
-    """Results from a position on; waits up to `wait_s` for the first."""
+    """Reads results from a position; waits up to `wait_s` for the first one."""
 
     job_id: str
     position: int
@@ -23,14 +23,14 @@
 
 
 class ReadItemCall(msgspec.Struct, frozen=True, tag=True):
-    """The body of an item."""
+    """Reads the body of an item."""
 
     job_id: str
     item_id: str
 
 
 class EndJobCall(msgspec.Struct, frozen=True, tag=True):
-    """End this job; safe to repeat."""
+    """Ends a job; idempotent."""
 
     job_id: str
 
@@ -40,7 +40,7 @@
 
 
 class JobTaken(msgspec.Struct, frozen=True, tag=True):
-    """The job is durable at a majority."""
+    """The job is committed."""
 
 
 class ResultsRead(msgspec.Struct, frozen=True, tag=True):
@@ -56,21 +56,21 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True, tag=True):
-    """The end is durable at a majority."""
+    """The end of the job is committed."""
 
 
 class NoSuchJob(msgspec.Struct, frozen=True, tag=True):
-    """The leader is sure that there is no such job or item."""
+    """The job or item does not exist, as confirmed by the leader."""
 
 
 class NotLeader(msgspec.Struct, frozen=True, tag=True):
-    """Ask another node; `leader` is its `host:port`, or empty where it is not known."""
+    """This node does not lead; `leader` is the leader's `host:port`, or empty if unknown."""
 
     leader: str
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, tag=True):
-    """Leadership was lost while the change was under way."""
+    """Leadership was lost before the change was committed; it may still take effect."""
 
 
 JobReply = (
--- a/stileloom/jobs/metrics.py
+++ b/stileloom/jobs/metrics.py
@@ -120,7 +120,7 @@
         committed: Callable[[], int],
         lag: Callable[[], int],
     ) -> None:
-        """Where the state of the replica is read."""
+        """Registers callbacks that read the state of the replica."""
         self._leader.set_function(lambda: float(leads()))
         self._epoch.set_function(epoch)
         self._committed.set_function(committed)
--- a/stileloom/jobs/order_window.py
+++ b/stileloom/jobs/order_window.py
@@ -1,4 +1,4 @@
-"""The leader's own order window: opened through the ledger, short, and checked at each order."""
+"""Order window of the leader: a short interval, committed to the ledger, for sending orders."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from stileloom.ledger.commands import OpenOrderWindow
 from stileloom.ledger.order_windows import ORDER_WINDOW_S
 
-MIN_LEFT_S = 0.2
-"""With less than this left a new window is opened first."""
+MIN_REMAINING_S = 0.2
+"""Minimum remaining time of a window; below it a new one is opened."""
 
 
 class OrderWindow:
-    """Windows of one leadership."""
+    """Order windows of one leadership."""
 
     def __init__(self, node_id: str, ledger: LeaderLedger, needed: bool = True) -> None:
         self._node_id = node_id
         self._ledger = ledger
         self._closes_at = float("-inf") if needed else float("inf")
-        """Without windows the lease alone decides; a new leader then waits from its election."""
+        """Infinite if windows are disabled; then only the lease restricts orders."""
 
     def is_open(self) -> bool:
-        """Whether an order may leave now: a process may have slept since it was asked last."""
+        """Whether an order may be sent now; the process may have been suspended in between."""
         return self._ledger.may_act() and steady_time() < self._closes_at
 
     async def open(self) -> bool:
-        """Opens a window where none is, or little is left of it; False where that failed."""
+        """Ensures that a window with enough time is open; returns False if that failed."""
         proposed_at = steady_time()
-        if self._ledger.may_act() and proposed_at < self._closes_at - MIN_LEFT_S:
+        if self._ledger.may_act() and proposed_at < self._closes_at - MIN_REMAINING_S:
             return True
         try:
             await self._ledger.propose(OpenOrderWindow(self._node_id))
--- a/stileloom/jobs/partial_text.py
+++ b/stileloom/jobs/partial_text.py
@@ -1,4 +1,4 @@
-"""The text of an item as far as it was made: a chain of events without a gap."""
+"""Partial text of an item as a contiguous sequence of events."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class BrokenChain(Exception):
-    """An event does not follow the one before."""
+    """An event does not directly follow the previous one."""
 
 
 class PartialText(msgspec.Struct):
-    """Events of one item in order, and the versions that made them."""
+    """Events of one item in order, and the weight versions that generated them."""
 
     parts: list[str] = msgspec.field(default_factory=list)
     last_event_id: int | None = None
     versions: list[int] = msgspec.field(default_factory=list)
     whole: bool = False
-    """Whether the sampler ended the text after these events."""
+    """Whether the text is complete."""
 
     @property
     def text(self) -> str:
-        """The data of all events, separated by line feeds."""
+        """The data of all events, concatenate by line feeds."""
         return "\n".join(self.parts)
 
     def add(self, event_id: int, data: str, version: int) -> None:
-        """Adds the next event. Raises `BrokenChain` where it is not the next one."""
+        """Appends an event. Raises `BrokenChain` if its id is not the next one."""
         last = self.last_event_id if self.last_event_id is not None else FIRST_EVENT_ID - 1
         if event_id != last + 1:
             raise BrokenChain(f"event {event_id} after {last}")
@@ -36,11 +36,11 @@
             self.versions.append(version)
 
     def copy(self) -> PartialText:
-        """An independent copy."""
+        """Returns an independent copy."""
         return PartialText(list(self.parts), self.last_event_id, list(self.versions), self.whole)
 
-    def fits(self, min_version: int, single_version: bool) -> bool:
-        """Whether the text so far may be part of a result with these bounds."""
+    def satisfies(self, min_version: int, single_version: bool) -> bool:
+        """Whether the partial text satisfies the version constraints of a job."""
         if any(version < min_version for version in self.versions):
             return False
         return not single_version or len(self.versions) <= 1
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -166,9 +166,11 @@
         """Forwards the call once, with the attempts and timeout of its route."""
         call = pending.call
         now = steady_time()
-        left_s = max(RETRY_S, min(route.timeout_s, pending.item.deadline - now))
+        remaining_s = max(RETRY_S, min(route.timeout_s, pending.item.deadline - now))
         headers = [("Host", call.host), (self._names.request_id, call.request_id)]
-        lookup = Lookup(call.request_id, "POST", call.path, headers, call.body, now, now + left_s)
+        lookup = Lookup(
+            call.request_id, "POST", call.path, headers, call.body, now, now + remaining_s
+        )
         repeatable = msgspec.structs.replace(route, kind=RouteKind.SAFE)
         return await self._forwarder.forward(lookup, repeatable, service)
 
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -366,9 +366,9 @@
         if not open_item.has_run:
             open_item.has_run = True
             self._metrics.queue_wait.observe(steady_time() - open_item.adopted_at)
-        left_s = open_item.deadline - steady_time()
+        remaining_s = open_item.deadline - steady_time()
         request = encode_item_request(
-            open_item, self._host_of(open_item), entry.sampler_id, left_s, self._dialect.names
+            open_item, self._host_of(open_item), entry.sampler_id, remaining_s, self._dialect.names
         )
         connection.exchange(request, stream)
 
@@ -425,7 +425,7 @@
             else:
                 asyncio.get_running_loop().call_soon(self._pool.release, sampler_id, connection)
         self._metrics.runs_ended.labels(outcome.value).inc()
-        if outcome is RunOutcome.WHOLE:
+        if outcome is RunOutcome.COMPLETE:
             self._samplers.answered(sampler_id)
             self._suspects.on_complete_text(open_item)
             open_item.partial.whole = True
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -101,7 +101,7 @@
             saved = record.progress.get(item.item_id)
             kept = self._kept.pop(item.item_id, None)
             partial = saved.copy() if saved is not None else kept
-            if partial is None or not partial.fits(submission.min_version, single_version):
+            if partial is None or not partial.satisfies(submission.min_version, single_version):
                 partial = PartialText()
             size = sizes.get(item.item_id, ItemSize())
             self.items[key] = OpenItem(
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -1,4 +1,4 @@
-"""Answers job calls at a ledger node: the leader serves them, others say who leads."""
+"""Job service of a ledger node: the leader serves calls, other nodes redirect to it."""
 
 from __future__ import annotations
 
@@ -43,30 +43,30 @@
 
 
 class ServedLedger(LeaderLedger, Protocol):
-    """The ledger as this service sees it."""
+    """Ledger interface of this service."""
 
     @property
     def state(self) -> LedgerState:
-        """The replicated state."""
+        """The replicated state machine."""
 
     def leader_address(self) -> tuple[str, int] | None:
-        """Where the leader is."""
+        """Returns the address of the leader, if already_known."""
 
 
 class JobService:
-    """Handles the calls of gateways."""
+    """Handles job and quarantine calls of gateways."""
 
     def __init__(
         self, ledger: ServedLedger, quarantine: QuarantineAuthority, log: EventLog
     ) -> None:
         self.runner: JobRunner | None = None
-        """Set while this node leads."""
+        """Set while this node is the leader."""
         self._ledger = ledger
         self._quarantine = quarantine
         self._log = log
 
     async def handle(self, request: JobRequest) -> JobReply:
-        """The answer to one call."""
+        """Handles one call."""
         if not self._ledger.may_act():
             return self._not_leader()
         if isinstance(request, SubmitJobCall):
@@ -92,8 +92,8 @@
                 return TrialAnswered(await authority.start_trial(request.identity))
             return SuspectReleased(await authority.release(request.identity))
         except StileloomError:
-            # Leadership was lost and the caller asks again. Repeats are harmless: of a trial that
-            # was granted, and whose answer was lost, the next call is refused, so it is not run.
+            # Leadership was lost and the caller retries, which is safe: if a granted trial's answer
+            # was lost, the retry is rejected and the trial does not run.
             return OutcomeUnknown()
 
     def _not_leader(self) -> NotLeader:
@@ -105,8 +105,8 @@
 
     async def _submit(self, request: SubmitJobCall) -> JobReply:
         submission = request.submission
-        known = self._job(submission.job_id) is not None
-        if not known:
+        already_known = self._job(submission.job_id) is not None
+        if not already_known:
             try:
                 await self._ledger.propose(SubmitJob(submission))
             except StileloomError:
@@ -117,7 +117,7 @@
                 "job": submission.job_id,
                 "step": submission.step,
                 "items": len(submission.items),
-                "repeat": known,
+                "repeat": already_known,
             },
         )
         if self.runner is not None:
@@ -128,11 +128,11 @@
         job = self._job(request.job_id)
         deadline = steady_time() + request.wait_s
         while job is not None and len(job.results) <= request.position and not job.ended:
-            left_s = deadline - steady_time()
-            if left_s <= 0 or self.runner is None:
+            remaining_s = deadline - steady_time()
+            if remaining_s <= 0 or self.runner is None:
                 break
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self.runner.results_wait(request.job_id)
             except TimeoutError:
                 break
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -87,7 +87,7 @@
             return OrderOutcome.REFUSED
         self.record_versions(load.sampler_id, report.model_versions)
         if report.model_versions.get(load.model, 0) >= load.version:
-            return OrderOutcome.HOLDS_ALREADY
+            return OrderOutcome.ALREADY_LOADED
         if report.busy:
             return OrderOutcome.BUSY
         order = LoadOrder(
--- a/tests/test_item_stream.py
+++ b/tests/test_item_stream.py
@@ -1,4 +1,4 @@
-"""One run of an item: the chain of events and how a run ends."""
+"""Event streams of item runs and their outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Run:
-    """A stream that records what it tells."""
+    """An item stream that records its events and outcomes."""
 
     def __init__(self, partial: PartialText | None = None, min_version: int = 1) -> None:
         self.partial = partial or PartialText()
@@ -31,7 +31,7 @@
         )
 
     def head(self, status: int = 200, **headers: str) -> None:
-        """The head of the response."""
+        """Passes a response head to the stream."""
         values = {NAMES.request_id: "i", NAMES.versions: "1"}
         values |= {getattr(NAMES, name): value for name, value in headers.items()}
         self.stream.on_head(ResponseHead(status, "", HTTPHeaders(values)))
@@ -44,17 +44,17 @@
 
 
 class ItemStreamTest(testtools.TestCase):
-    """Runs."""
+    """Contiguity, versions and outcomes of runs."""
 
-    def test_a_whole_run_with_a_change_of_version(self) -> None:
+    def test_a_complete_run_with_a_version_change(self) -> None:
         run = Run()
         run.head()
         run.stream.on_body(event(1) + event(2, version=2))
         run.stream.on_end(ExchangeEnd.COMPLETE)
-        self.assertEqual([RunOutcome.WHOLE], run.outcomes)
+        self.assertEqual([RunOutcome.COMPLETE], run.outcomes)
         self.assertEqual(("d1\nd2", [1, 2]), (run.partial.text, run.partial.versions))
 
-    def test_a_resumed_run_states_only_versions_that_made_events(self) -> None:
+    def test_a_resumed_run_records_only_versions_that_generated_events(self) -> None:
         partial = PartialText(["d1"], 1, [3])
         run = Run(partial)
         run.head(versions="4")
@@ -70,14 +70,14 @@
             self.assertEqual([RunOutcome.BROKEN], run.outcomes)
         self.assertRaises(BrokenChain, PartialText().add, 2, "x", 1)
 
-    def test_an_event_that_was_cut_does_not_count(self) -> None:
+    def test_a_truncated_event_is_ignored(self) -> None:
         run = Run()
         run.head()
         run.stream.on_body(event(1) + event(2)[:-3])
         run.stream.on_end(ExchangeEnd.CUT)
         self.assertEqual(([RunOutcome.BROKEN], ["d1"]), (run.outcomes, run.partial.parts))
 
-    def test_a_clean_end_within_an_event_or_without_any_is_not_whole(self) -> None:
+    def test_a_clean_end_within_an_event_or_without_any_is_not_complete(self) -> None:
         for body in (event(1) + b"id: 2\nda", b""):
             run = Run()
             run.head()
@@ -85,19 +85,19 @@
             run.stream.on_end(ExchangeEnd.COMPLETE)
             self.assertEqual([RunOutcome.BROKEN], run.outcomes)
 
-    def test_weights_older_than_the_job_allows_make_no_event(self) -> None:
+    def test_events_of_weights_older_than_the_job_accepts_are_rejected(self) -> None:
         run = Run(min_version=2)
         run.head()
         run.stream.on_body(event(1))
         self.assertEqual(([RunOutcome.TOO_OLD], []), (run.outcomes, run.partial.parts))
 
-    def test_an_answer_to_another_request_is_not_taken(self) -> None:
+    def test_an_answer_to_another_request_is_rejected(self) -> None:
         run = Run()
         run.head(request_id="other")
         run.stream.on_body(event(1))
         self.assertEqual(([RunOutcome.BROKEN], []), (run.outcomes, run.partial.parts))
 
-    def test_statuses(self) -> None:
+    def test_outcomes_by_status(self) -> None:
         for status, expected in (
             (500, RunOutcome.FAILED),
             (422, RunOutcome.IMPOSSIBLE),
--- a/tests/test_job_book.py
+++ b/tests/test_job_book.py
@@ -1,4 +1,4 @@
-"""The replicated record of jobs against a simple oracle, under commands in any order and number."""
+"""Stateful test of the replicated job registry against a simple model."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 STEPS = 30
 
 
-def whole_text(item_id: str) -> list[str]:
-    """All events of an item."""
+def complete_text(item_id: str) -> list[str]:
+    """Returns all events of an item."""
     return [f"{item_id}-{number}" for number in range(4)]
 
 
 class JobBookMachine(RuleBasedStateMachine):
-    """Leaders that come and go: each may save, list and end again what another one did."""
+    """Commands of successive leaders, each of which may repeat those of another."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = JobBook()
+        self.registry = JobBook()
         self.listed: dict[str, list[tuple[str, str, str]]] = {}
         self.saved: dict[tuple[str, str], int] = {}
 
     @rule(job_id=st.sampled_from(JOBS), same_reward=st.booleans())
     def submit(self, job_id: str, same_reward: bool) -> None:
-        """A job is taken once; a repeat changes nothing."""
+        """Submits a job; a repeat must change nothing."""
         tag = "" if same_reward else job_id
         items = [
             JobItem(item, "/p", {}, b"", "g", RewardCall(f"s{tag}{item}", "h", "/s", b""))
             for item in ITEMS
         ]
         submission = JobSubmission(job_id, "h", "/p", 0, "m", MIN_VERSIONS[job_id], 1, items)
-        taken = self.book.submit(submission)
+        taken = self.registry.submit(submission)
         assert taken == (job_id not in self.listed)
         self.listed.setdefault(job_id, [])
 
@@ -59,65 +59,65 @@
         count=st.integers(1, 4),
     )
     def save(self, job_id: str, item_id: str, first: int, count: int) -> None:
-        """Events that follow those saved before, or some of them again."""
+        """Saves events that extend or repeat the saved ones."""
         first = min(first, self.saved.get((job_id, item_id), 0))
-        parts = whole_text(item_id)[first : first + count]
+        parts = complete_text(item_id)[first : first + count]
         end = first + len(parts)
         if not parts or end < self.saved.get((job_id, item_id), 0):
             return
-        whole = end == len(whole_text(item_id))
-        self.book.save(job_id, [ItemProgress(item_id, first, parts, end, [1], whole)])
+        complete = end == len(complete_text(item_id))
+        self.registry.save(job_id, [ItemProgress(item_id, first, parts, end, [1], complete)])
         known = job_id in self.listed
         if known and item_id not in [row[0] for row in self.listed[job_id]]:
             self.saved[(job_id, item_id)] = end
 
     @rule(job_id=st.sampled_from(JOBS), item_id=st.sampled_from(ITEMS), score=st.text(max_size=3))
     def finish(self, job_id: str, item_id: str, score: str) -> None:
-        """A leader lists the text on top of what is saved, with the score that it got."""
+        """Lists a result that refers to the saved events, with its score."""
         saved = self.saved.get((job_id, item_id), 0)
-        rest = whole_text(item_id)[saved:]
+        rest = complete_text(item_id)[saved:]
         finished = FinishedItem(item_id, ItemState.SUCCEEDED, saved, rest, [1], score)
-        self.book.record(job_id, [finished])
+        self.registry.record(job_id, [finished])
         rows = self.listed.get(job_id)
         if rows is not None and item_id not in [row[0] for row in rows]:
-            rows.append((item_id, "\n".join(whole_text(item_id)), score))
+            rows.append((item_id, "\n".join(complete_text(item_id)), score))
             self.saved.pop((job_id, item_id), None)
 
     @rule(job_id=st.sampled_from(JOBS), item_id=st.sampled_from(ITEMS))
     def give_up(self, job_id: str, item_id: str) -> None:
-        """A leader gives an item up."""
-        self.book.record(job_id, [FinishedItem(item_id, ItemState.GIVEN_UP, 0, [], [])])
+        """Lists an item as given up."""
+        self.registry.record(job_id, [FinishedItem(item_id, ItemState.GIVEN_UP, 0, [], [])])
         rows = self.listed.get(job_id)
         if rows is not None and item_id not in [row[0] for row in rows]:
             rows.append((item_id, "", ""))
             self.saved.pop((job_id, item_id), None)
 
     @invariant()
-    def results_stand_where_they_were_listed(self) -> None:
-        """Positions, texts and scores never change."""
+    def listed_results_never_change(self) -> None:
+        """Positions, texts and scores of listed results never change."""
         for job_id, rows in self.listed.items():
-            results = self.book.jobs[job_id].page(0).results
+            results = self.registry.jobs[job_id].page(0).results
             assert [(r.item_id, r.text, r.score) for r in results] == rows
 
     @invariant()
-    def whole_texts_are_known_as_whole(self) -> None:
-        """A new leader asks only for the score of a text that is whole."""
+    def complete_texts_are_recorded_as_complete(self) -> None:
+        """Saved progress records whether the text is complete, so that it is not run again."""
         for (job_id, item_id), end in self.saved.items():
-            partial = self.book.jobs[job_id].progress[item_id]
-            assert partial.parts == whole_text(item_id)[:end]
-            assert partial.whole == (end == len(whole_text(item_id)))
+            partial = self.registry.jobs[job_id].progress[item_id]
+            assert partial.parts == complete_text(item_id)[:end]
+            assert partial.whole == (end == len(complete_text(item_id)))
 
     @invariant()
-    def only_what_fits_is_used_again(self) -> None:
-        """Carried results have the versions that the job allows and its own reward call."""
-        for job_id, record in self.book.jobs.items():
+    def only_matching_results_are_reused(self) -> None:
+        """Reused results match the job's minimum version and reward call."""
+        for job_id, record in self.registry.jobs.items():
             rewards = {item.item_id: item.reward for item in record.submission.items}
-            for found in reusable_results(self.book, record, False):
+            for found in reusable_results(self.registry, record, False):
                 assert MIN_VERSIONS[job_id] <= min(found.versions)
                 assert found.item_id not in record.listed
                 sources = [
                     item.reward
-                    for other in self.book.jobs.values()
+                    for other in self.registry.jobs.values()
                     if other is not record
                     for item in other.submission.items
                     if item.item_id == found.item_id
@@ -126,9 +126,9 @@
 
 
 class JobBookTest(testtools.TestCase):
-    """The machine above."""
+    """Runs the state machine."""
 
-    def test_the_book_agrees_with_its_oracle(self) -> None:
+    def test_the_registry_matches_its_model(self) -> None:
         run_state_machine_as_test(
             JobBookMachine,
             settings=settings(
--- a/tests/test_job_client.py
+++ b/tests/test_job_client.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to ledger nodes: whom it asks, and what it may say when nobody answers."""
+"""Job client: choice of ledger nodes, retries, and outcomes of unanswered calls."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class LedgerNodesTest(testtools.TestCase):
-    """Which ledger nodes a gateway asks."""
+    """Choice of the ledger node for the next attempt."""
 
     def targets(self, nodes: LedgerNodes, count: int) -> set[tuple[str, int] | None]:
-        """Whom it asks in turn."""
+        """Returns the nodes of the next attempts."""
         return {nodes.next_target() for _ in range(count)}
 
-    def test_a_seed_that_the_store_does_not_list_is_asked_no_more(self) -> None:
-        """It may be a machine that is gone for good: asking it costs each start half a second."""
+    def test_a_seed_that_is_not_listed_is_no_longer_used(self) -> None:
+        """Guards against delays at start because of decommissioned machines."""
         gone, listed, new = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
         nodes = LedgerNodes([gone, listed])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
@@ -40,17 +40,17 @@
         nodes.learn([listed, new])
         self.assertEqual({listed, new}, self.targets(nodes, 6))
 
-    def test_once_all_listed_nodes_were_silent_the_seeds_are_asked_again(self) -> None:
+    def test_seeds_are_used_again_after_all_listed_nodes_failed(self) -> None:
         seed, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([seed])
         nodes.learn([listed])
         self.assertEqual({listed}, self.targets(nodes, 3))
-        nodes.silent()
+        nodes.record_failure()
         self.assertEqual({seed, listed}, self.targets(nodes, 4))
-        nodes.answered()
+        nodes.record_answer()
         self.assertEqual({listed}, self.targets(nodes, 3))
 
-    def test_a_known_leader_is_asked_whatever_the_list_says(self) -> None:
+    def test_a_known_leader_is_used_even_if_it_is_not_listed(self) -> None:
         leader, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([leader])
         nodes.leader = leader
@@ -59,10 +59,10 @@
 
 
 class JobClientTest(testtools.TestCase):
-    """One client and some nodes."""
+    """Calls of one client to several ledger nodes."""
 
     def outcome(self, *handlers: Handler | None, timeout_s: float = 0.6) -> Reply | Outcome:
-        """What a call comes to with these nodes; None is a node that is down."""
+        """Returns the reply or outcome of a call; None stands for a node that is down."""
 
         async def run() -> Reply | Outcome:
             configure_logs("critical")
@@ -84,29 +84,29 @@
         with mock.patch.object(client_module, "CALL_TIMEOUT_S", 0.1):
             return asyncio.run(run())
 
-    def test_nobody_reached_is_not_run(self) -> None:
+    def test_a_call_that_reached_no_node_was_not_run(self) -> None:
         self.assertEqual(Outcome.NOT_RUN, self.outcome(None, None))
 
     def test_a_node_that_does_not_answer_leaves_the_outcome_unknown(self) -> None:
-        async def silent(request: Request) -> Reply:
+        async def unresponsive(request: Request) -> Reply:
             await asyncio.Event().wait()
             return JobEnded()
 
-        self.assertEqual(Outcome.UNKNOWN, self.outcome(silent))
+        self.assertEqual(Outcome.UNKNOWN, self.outcome(unresponsive))
 
-    def test_a_leader_that_lost_its_place_leaves_the_outcome_unknown(self) -> None:
+    def test_a_leader_that_lost_its_leadership_leaves_the_outcome_unknown(self) -> None:
         async def lost(request: Request) -> Reply:
             return OutcomeUnknown()
 
         self.assertEqual(Outcome.UNKNOWN, self.outcome(lost))
 
-    def test_nodes_that_only_say_that_they_do_not_lead_have_not_run_it(self) -> None:
+    def test_a_call_that_only_reached_followers_was_not_run(self) -> None:
         async def follower(request: Request) -> Reply:
             return NotLeader("")
 
         self.assertEqual(Outcome.NOT_RUN, self.outcome(follower, follower))
 
-    def test_a_hint_is_followed(self) -> None:
+    def test_a_redirect_to_the_leader_is_followed(self) -> None:
         async def leader(request: Request) -> Reply:
             return JobEnded()
 
@@ -118,38 +118,38 @@
         self.assertEqual(JobEnded(), reply)
 
 
-class SilentNodeTest(testtools.TestCase):
-    """What is logged of nodes that do not answer."""
+class UnresponsiveNodeTest(testtools.TestCase):
+    """Log lines about ledger nodes that do not answer."""
 
     def lines(self, request_id: str) -> int:
-        """Lines of silent nodes in a call that tries for half a second."""
-        told: list[LogEvent] = []
+        """Counts log lines about unresponsive nodes during a call with a timeout of 0.5 s."""
+        events: list[LogEvent] = []
         configure_logs("error")
         log = EventLog("gateway")
         client = JobClient(LedgerNodes([(HOST, free_port())]), log, lambda: None)
-        with mock.patch.object(log, "emit", lambda event, fields: told.append(event)):
+        with mock.patch.object(log, "emit", lambda event, fields: events.append(event)):
             self.assertRaises(
                 StileloomError, asyncio.run, client.call(EndJobCall("j"), request_id, 0.5)
             )
-        return told.count(LogEvent.LEDGER_NODE_SILENT)
+        return events.count(LogEvent.LEDGER_NODE_SILENT)
 
-    def test_a_call_of_the_nodes_own_tells_a_silent_node_once(self) -> None:
-        """A gateway that followed the leader's list wrote ten lines a second without one."""
+    def test_an_internal_call_logs_an_unresponsive_node_once(self) -> None:
+        """Guards against a log line for each retry of a continuous internal call."""
         self.assertEqual(1, self.lines(""))
 
-    def test_each_try_of_a_callers_request_is_part_of_its_story(self) -> None:
+    def test_each_attempt_of_a_callers_request_is_logged(self) -> None:
         self.assertGreater(self.lines("r1"), 1)
 
 
 class FrameTest(testtools.TestCase):
-    """Frames of calls."""
+    """Framing of calls."""
 
-    def test_any_cutting_gives_the_same_frames(self) -> None:
+    def test_frames_do_not_depend_on_how_the_input_is_split(self) -> None:
         sent = encode_frame("a") + encode_frame("b" * 100)
         for cut in range(len(sent)):
             reader = FrameReader()
             frames = reader.feed(sent[:cut]) + reader.feed(sent[cut:])
             self.assertEqual(2, len(frames))
 
-    def test_a_frame_that_is_too_long_is_refused(self) -> None:
+    def test_an_oversized_frame_is_rejected(self) -> None:
         self.assertRaises(ValueError, FrameReader().feed, b"\xff\xff\xff\xff")
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -1,4 +1,4 @@
-"""Results kept at a gateway, and bodies that go compressed between nodes."""
+"""Result cache of a gateway, and compression of bodies between nodes."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 def results(first: int, last: int, text: str = "t") -> list[ItemResult]:
-    """Results at these positions."""
+    """Returns results for a range of positions."""
     return [ItemResult(f"i{n}", ItemState.SUCCEEDED, text, [1]) for n in range(first, last)]
 
 
 def page(first: int, last: int, total: int = TOTAL) -> ResultPage:
-    """A page from one position to another."""
+    """Returns a page for a range of positions."""
     return ResultPage(total, last, results(first, last))
 
 
 class Leader:
-    """A ledger that has listed some results."""
+    """A fake leader that has listed some results."""
 
     def __init__(self, listed: int) -> None:
         self.listed = listed
@@ -40,7 +40,7 @@
         self.knows = True
 
     async def call(self, request: JobRequest, request_id: str, timeout_s: float) -> JobReply:
-        """Answers a read."""
+        """Handles a read."""
         assert isinstance(request, ReadResultsCall)
         self.calls.append(request)
         if not self.reachable:
@@ -51,7 +51,7 @@
 
 
 class ReaderTest(testtools.TestCase):
-    """Reads at one gateway."""
+    """Reads through the cache of one gateway."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -60,10 +60,10 @@
         self.reader = ResultReader(self.leader, self.cache)
 
     def read(self, position: int, wait_s: float = 1.0) -> JobReply:
-        """One read of the job."""
+        """Reads results of the job."""
         return asyncio.run(self.reader.read("j", position, wait_s, 5.0))
 
-    def test_a_repeated_read_asks_only_for_what_is_new(self) -> None:
+    def test_a_repeated_read_requests_only_new_results(self) -> None:
         self.assertEqual(ResultsRead(page(0, 4)), self.read(0))
         self.leader.listed = 6
         self.assertEqual(ResultsRead(page(1, 6)), self.read(1))
@@ -78,13 +78,13 @@
         self.assertEqual(ResultsRead(page(3, TOTAL)), self.read(3))
         self.assertEqual(1, len(self.leader.calls))
 
-    def test_without_the_leader_what_is_kept_is_read_and_nothing_else(self) -> None:
+    def test_without_a_leader_only_cached_results_are_returned(self) -> None:
         self.read(0)
         self.leader.reachable = False
         self.assertEqual(ResultsRead(page(2, 4)), self.read(2))
         self.assertRaises(StileloomError, self.read, 4)
 
-    def test_a_job_that_the_ledger_forgot_is_forgotten_here(self) -> None:
+    def test_a_job_that_no_longer_exists_is_removed_from_the_cache(self) -> None:
         self.read(0)
         self.leader.knows = False
         self.assertEqual(NoSuchJob(), self.read(0))
@@ -92,54 +92,54 @@
 
 
 class CacheTest(testtools.TestCase):
-    """What is kept, and within which size."""
+    """Contents and size limit of the cache."""
 
     def test_pages_read_out_of_order_leave_gaps(self) -> None:
         cache = ResultCache()
-        cache.keep("j", 4, page(4, 6))
-        cache.keep("j", 0, page(0, 2))
+        cache.put("j", 4, page(4, 6))
+        cache.put("j", 0, page(0, 2))
         self.assertEqual(page(0, 2), cache.page("j", 0))
         self.assertIsNone(cache.page("j", 2))
         self.assertEqual(page(5, 6), cache.page("j", 5))
         self.assertIsNone(cache.page("other", 0))
 
-    def test_a_page_keeps_to_its_size_but_has_at_least_one_result(self) -> None:
+    def test_a_page_is_limited_in_size_but_has_at_least_one_result(self) -> None:
         cache = ResultCache()
         large = results(0, 3, text="x" * (PAGE_BYTES // 2 + 1))
-        cache.keep("j", 0, ResultPage(TOTAL, 3, large))
+        cache.put("j", 0, ResultPage(TOTAL, 3, large))
         found = cache.page("j", 0)
         assert found is not None
         self.assertEqual((1, 1), (len(found.results), found.next_position))
 
-    def test_the_job_read_longest_ago_gives_way(self) -> None:
+    def test_the_least_recently_read_job_is_evicted(self) -> None:
         one = result_size(results(0, 1)[0])
         cache = ResultCache(max_bytes=5 * one)
         for job_id in ("a", "b"):
-            cache.keep(job_id, 0, page(0, 2))
+            cache.put(job_id, 0, page(0, 2))
         cache.page("a", 0)
-        cache.keep("c", 0, page(0, 2))
+        cache.put("c", 0, page(0, 2))
         self.assertIsNone(cache.page("b", 0))
         self.assertIsNotNone(cache.page("a", 0))
         self.assertIsNotNone(cache.page("c", 0))
 
 
 class CompressionTest(testtools.TestCase):
-    """Frames between nodes."""
+    """Compressed bodies and damaged frames."""
 
-    def test_bodies_come_out_as_they_went_in(self) -> None:
+    def test_compression_round_trip(self) -> None:
         rng = random.Random(1)
         for body in (b"", b"short", b"text " * 500, rng.randbytes(4000)):
             self.assertEqual(body, unpack(pack(body), 10_000))
         self.assertLess(len(pack(b"text " * 500)), 200)
         self.assertEqual(PLAIN, pack(rng.randbytes(4000))[:1])
 
-    def test_what_is_no_body_is_refused(self) -> None:
-        whole = DEFLATED + zlib.compress(b"x" * 5000)
-        for packed in (b"", b"\x07abc", DEFLATED + b"abc", whole[:-6], DEFLATED):
+    def test_invalid_bodies_are_rejected(self) -> None:
+        complete = DEFLATED + zlib.compress(b"x" * 5000)
+        for packed in (b"", b"\x07abc", DEFLATED + b"abc", complete[:-6], DEFLATED):
             self.assertRaises(ValueError, unpack, packed, 10_000)
-        self.assertRaises(ValueError, unpack, whole, 4999)
+        self.assertRaises(ValueError, unpack, complete, 4999)
 
-    def test_a_damaged_frame_ends_the_connection_of_its_sender(self) -> None:
+    def test_a_damaged_frame_raises_an_error(self) -> None:
         frame = bytearray(encode_frame(["a" * 500]))
         frame[6] ^= 0xFF
         self.assertRaises(ValueError, FrameReader().feed, bytes(frame))
