--- a/stileloom/weights/__init__.py
+++ b/stileloom/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weights: which version runs where, fenced swaps, and what a sampler works for."""
+"""Weight placement: fenced swaps and role shifts of samplers."""
 
 from stileloom.weights.roles import PoolDemand, RoleShifter
 from stileloom.weights.swap import SwapPlanner, SwapStyle, SwapTarget, holds
--- a/stileloom/weights/roles.py
+++ b/stileloom/weights/roles.py
@@ -1,75 +1,79 @@
-"""Role shifts: lookup samplers are lent to rounds while demand is low, with hysteresis.
+"""Role shifts: lends lookup samplers to rounds while demand is low, with hysteresis.
 
-Demand is the number of lookups under way on each home sampler: their latency grows with it, long
-before the sampler is full.
+Demand is the number of running lookups per sampler that is not lent. Lookup latency grows with it
+well before a sampler is full.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-LEND_AFTER_S = 20.0
-"""How long demand must stay low before a sampler is lent; going home takes no waiting."""
-RETURN_SPACING_S = 1.0
-SMOOTHING_S = 5.0
+LEND_DELAY_S = 20.0
+"""Time for which demand must stay low before a sampler is lent; returns are not delayed."""
+MIN_RETURN_INTERVAL_S = 1.0
+SMOOTHING_TIME_S = 5.0
 
 
 class PoolDemand(msgspec.Struct, frozen=True):
-    """One pool as the rule sees it at one moment."""
+    """Demand and thresholds of one pool."""
 
     samplers: list[str]
-    """Usable samplers, in the order in which they are lent."""
+    """Usable samplers; the last ones are lent first."""
     keep_home: int
     running: int
-    """Lookups running or waiting on the samplers that are at home."""
+    """Lookups running or waiting on samplers that are not lent."""
     lend_below: float
-    """Lookups by sampler, after lending, under which one more may be lent."""
+    """Lookups per sampler, after lending, below which another sampler may be lent."""
     return_above: float
-    """Lookups by sampler over which a lent one goes home."""
+    """Lookups per sampler above which a lent sampler is returned."""
 
 
 class RoleShifter:
-    """Decides which samplers of one pool are lent."""
+    """Decides which samplers of a pool are lent."""
 
     def __init__(self) -> None:
         self.lent: list[str] = []
-        self._use = 0.0
-        self._seen_at: float | None = None
-        self._low_since: float | None = None
-        self._returned_at = float("-inf")
+        self._lookups_per_sampler = 0.0
+        self._updated_at: float | None = None
+        self._low_demand_since: float | None = None
+        self._last_return_at = float("-inf")
 
     def update(self, now: float, demand: PoolDemand) -> list[str]:
-        """The samplers to be lent from now on."""
+        """Returns the samplers that should be lent."""
         self.lent = [sampler for sampler in self.lent if sampler in demand.samplers]
-        home = max(1, len(demand.samplers) - len(self.lent))
-        use = demand.running / home
-        self._smooth(now, use)
+        home_count = max(1, len(demand.samplers) - len(self.lent))
+        lookups_per_sampler = demand.running / home_count
+        self._update_average(now, lookups_per_sampler)
         self._return_some(now, demand)
-        self._lend_one(now, demand, home)
+        self._lend_one(now, demand, home_count)
         return self.lent
 
-    def _smooth(self, now: float, use: float) -> None:
-        elapsed = now - self._seen_at if self._seen_at is not None else SMOOTHING_S
-        self._seen_at = now
-        self._use += min(1.0, elapsed / SMOOTHING_S) * (use - self._use)
+    def _update_average(self, now: float, lookups_per_sampler: float) -> None:
+        elapsed = now - self._updated_at if self._updated_at is not None else SMOOTHING_TIME_S
+        self._updated_at = now
+        self._lookups_per_sampler += min(1.0, elapsed / SMOOTHING_TIME_S) * (
+            lookups_per_sampler - self._lookups_per_sampler
+        )
 
     def _return_some(self, now: float, demand: PoolDemand) -> None:
-        too_few = len(demand.samplers) - len(self.lent) < demand.keep_home
-        pressed = self._use > demand.return_above
-        if self.lent and (too_few or (pressed and now >= self._returned_at + RETURN_SPACING_S)):
+        below_minimum = len(demand.samplers) - len(self.lent) < demand.keep_home
+        overloaded = self._lookups_per_sampler > demand.return_above
+        if self.lent and (
+            below_minimum or (overloaded and now >= self._last_return_at + MIN_RETURN_INTERVAL_S)
+        ):
             self.lent = self.lent[:-1]
-            self._returned_at = now
-            self._low_since = None
+            self._last_return_at = now
+            self._low_demand_since = None
 
-    def _lend_one(self, now: float, demand: PoolDemand, home: int) -> None:
-        after = self._use * home / max(1, home - 1)
-        if after >= demand.lend_below or home <= demand.keep_home:
-            self._low_since = None
+    def _lend_one(self, now: float, demand: PoolDemand, home_count: int) -> None:
+        lookups_after_lending = self._lookups_per_sampler * home_count / max(1, home_count - 1)
+        if lookups_after_lending >= demand.lend_below or home_count <= demand.keep_home:
+            self._low_demand_since = None
             return
-        if self._low_since is None:
-            self._low_since = now
-        if now < self._low_since + LEND_AFTER_S:
+        if self._low_demand_since is None:
+            self._low_demand_since = now
+        if now < self._low_demand_since + LEND_DELAY_S:
             return
         candidates = [sampler for sampler in demand.samplers if sampler not in self.lent]
         self.lent = [*self.lent, candidates[-1]]
-        self._low_since = None
+        self._low_demand_since = None
--- a/stileloom/weights/swap.py
+++ b/stileloom/weights/swap.py
@@ -1,7 +1,8 @@
-"""Weight swaps: which samplers get a fenced order now, and where they load from.
+"""Weight swaps: plans fenced load orders and their sources.
 
-The weight store is rate-limited, so in each zone one sampler at a time loads from it and the
-others load from samplers of their zone that hold the version: the holders multiply, a tree.
+The weight store is rate-limited, so in each zone only one sampler at a time loads from it. The
+others load from samplers of their zone that already hold the version, which forms a
+distribution tree.
 """
 
 from __future__ import annotations
@@ -17,30 +18,30 @@
 from stileloom.lease import FencingToken
 from stileloom.samplers.table import SamplerView
 
-LOADS_PER_HOLDER = 2
-ORDER_LOST_S = 10.0
-"""An order whose load is neither finished nor under way after this long is given again."""
+MAX_LOADS_PER_HOLDER = 2
+ORDER_LOST_TIMEOUT_S = 10.0
+"""Time after which an order is repeated if its load is neither finished nor in progress."""
 
 
 class SwapStyle(enum.Enum):
-    """When a sampler with running generations may swap."""
+    """When a sampler with running generations may swap weights."""
 
     DRAIN = "drain"
-    """Only once nothing runs on it."""
+    """Only once no generation is running."""
     IN_FLIGHT = "in_flight"
-    """At once: running generations go on with the new version, in a new segment."""
+    """Immediately; running generations continue in a new segment with the new version."""
 
 
 class SwapTarget(msgspec.Struct, frozen=True):
-    """What a sampler is meant to hold and do."""
+    """Desired role, model and version of a sampler."""
 
     role: SamplerRole
     model: str
     version: int
 
 
-class _Ordered(msgspec.Struct):
-    """The last order given to a sampler."""
+class _SentOrder(msgspec.Struct):
+    """The last order sent to a sampler."""
 
     target: SwapTarget
     token: FencingToken
@@ -49,12 +50,12 @@
 
 
 class SwapPlanner:
-    """Gives orders on behalf of one leader epoch."""
+    """Plans orders during one leader epoch."""
 
     def __init__(self, epoch: int, sequence: Iterator[int]) -> None:
         self._epoch = epoch
         self._sequence = sequence
-        self._ordered: dict[str, _Ordered] = {}
+        self._sent_orders: dict[str, _SentOrder] = {}
 
     def plan(
         self,
@@ -63,20 +64,20 @@
         targets: dict[str, SwapTarget],
         style: SwapStyle,
     ) -> list[tuple[str, EngineOrder]]:
-        """The orders to give now, by sampler."""
-        loading_from = self._loads_by_source(now, samplers, targets)
+        """Returns the orders to send now, by sampler."""
+        loading_from = self._count_loads_by_source(now, samplers, targets)
         orders: list[tuple[str, EngineOrder]] = []
         for view in sorted(samplers, key=lambda view: view.sampler_id):
             final = targets.get(view.sampler_id)
             if final is None:
                 continue
             target = next_step(view, final)
-            if target is None or not self._wants_order(now, view, target, style):
+            if target is None or not self._needs_order(now, view, target, style):
                 continue
             if target != final:
                 orders.append((view.sampler_id, self._order(now, view.sampler_id, target, "")))
                 continue
-            source = self._source(now, view, target, samplers, loading_from)
+            source = self._choose_source(now, view, target, samplers, loading_from)
             if source is None:
                 continue
             loading_from[source] = loading_from.get(source, 0) + 1
@@ -85,11 +86,11 @@
 
     def _order(self, now: float, sampler_id: str, target: SwapTarget, source: str) -> EngineOrder:
         token = FencingToken(self._epoch, next(self._sequence))
-        self._ordered[sampler_id] = _Ordered(target, token, now, source)
+        self._sent_orders[sampler_id] = _SentOrder(target, token, now, source)
         address = "" if source.startswith("store/") else source
         return EngineOrder(token, target.role, target.model, target.version, address)
 
-    def _wants_order(
+    def _needs_order(
         self, now: float, view: SamplerView, target: SwapTarget, style: SwapStyle
     ) -> bool:
         load = view.load
@@ -99,35 +100,37 @@
             return False
         if holds(view, target):
             return False
-        ordered = self._ordered.get(view.sampler_id)
-        if ordered is not None and ordered.target == target:
-            arrived = load.last_order >= ordered.token
-            waited = now - ordered.sent_at
-            if not arrived:
-                return waited >= constants.ORDER_RETRY_S
+        sent_order = self._sent_orders.get(view.sampler_id)
+        if sent_order is not None and sent_order.target == target:
+            acknowledged = load.last_order >= sent_order.token
+            elapsed_s = now - sent_order.sent_at
+            if not acknowledged:
+                return elapsed_s >= constants.ORDER_RETRY_S
             if load.state is EngineState.LOADING:
-                return waited >= ORDER_LOST_S
-            if load.state is EngineState.SERVING and waited < ORDER_LOST_S:
-                return load.weight_version != target.version and waited >= constants.ORDER_RETRY_S
+                return elapsed_s >= ORDER_LOST_TIMEOUT_S
+            if load.state is EngineState.SERVING and elapsed_s < ORDER_LOST_TIMEOUT_S:
+                return (
+                    load.weight_version != target.version and elapsed_s >= constants.ORDER_RETRY_S
+                )
         role_only = (load.model, load.weight_version) == (target.model, target.version)
         if load.state is EngineState.UNKNOWN_VERSION or role_only:
             return True
         return style is SwapStyle.IN_FLIGHT or view.running == 0
 
-    def _loads_by_source(
+    def _count_loads_by_source(
         self, now: float, samplers: list[SamplerView], targets: dict[str, SwapTarget]
     ) -> dict[str, int]:
         counts: dict[str, int] = {}
         for view in samplers:
-            ordered = self._ordered.get(view.sampler_id)
+            sent_order = self._sent_orders.get(view.sampler_id)
             target = targets.get(view.sampler_id)
-            if ordered is None or target is None or ordered.target != target:
+            if sent_order is None or target is None or sent_order.target != target:
                 continue
-            if not holds(view, target) and now < ordered.sent_at + ORDER_LOST_S:
-                counts[ordered.source] = counts.get(ordered.source, 0) + 1
+            if not holds(view, target) and now < sent_order.sent_at + ORDER_LOST_TIMEOUT_S:
+                counts[sent_order.source] = counts.get(sent_order.source, 0) + 1
         return counts
 
-    def _source(
+    def _choose_source(
         self,
         now: float,
         view: SamplerView,
@@ -135,7 +138,7 @@
         samplers: list[SamplerView],
         loading_from: dict[str, int],
     ) -> str | None:
-        """Address of a holder with room, the store, or None to wait."""
+        """Returns the address of a holder with free capacity, the weight store, or None to wait."""
         zone = view.machine.zone
         holders = [
             other
@@ -147,9 +150,9 @@
         ]
         for holder in sorted(holders, key=lambda other: other.sampler_id):
             address = f"{holder.machine.host}:{holder.machine.port}"
-            if loading_from.get(address, 0) < LOADS_PER_HOLDER:
+            if loading_from.get(address, 0) < MAX_LOADS_PER_HOLDER:
                 return address
-        # With holders in the zone the store is not asked again.
+        # The weight store is only used while no sampler of the zone holds the version.
         store = f"store/{zone}/{target.model}"
         if not holders and loading_from.get(store, 0) < 1:
             return store
@@ -157,10 +160,10 @@
 
 
 def next_step(view: SamplerView, final: SwapTarget) -> SwapTarget | None:
-    """The next target on the way to `final`; None to wait.
+    """Returns the next target on the way to `final`, or None to wait.
 
-    A change of model would cut what runs. So first the role is changed, which stops new work
-    and lets the old go on, and the weights only once nothing runs.
+    A model change would interrupt running generations. The role is therefore changed first, which
+    stops new work, and the weights are replaced once no generation is running.
     """
     load = view.load
     if load is None or load.model == final.model or load.state is not EngineState.SERVING:
@@ -171,7 +174,7 @@
 
 
 def holds(view: SamplerView, target: SwapTarget) -> bool:
-    """Whether a sampler serves what it is meant to."""
+    """Whether the sampler serves its target."""
     load = view.load
     return (
         load is not None
