--- a/stileloom/jobs/intake.py
+++ b/stileloom/jobs/intake.py
@@ -25,7 +25,7 @@
 
 
 def reusable_results(book: JobBook, record: JobRecord, single_version: bool) -> list[FinishedItem]:
-    """Finds acceptable results of other_job jobs for items that this job reuses."""
+    """Finds acceptable results of other jobs for items that this job reuses."""
     wanted = {
         item.item_id: item.reward
         for item in record.submission.items
--- a/stileloom/jobs/result_reader.py
+++ b/stileloom/jobs/result_reader.py
@@ -19,8 +19,8 @@
 class ResultReader:
     """Reads results for the callers of one gateway."""
 
-    def __init__(self, jobs: JobCaller, cache: ResultCache, cache_results: bool = True) -> None:
-        self._jobs = jobs
+    def __init__(self, client: JobCaller, cache: ResultCache, cache_results: bool = True) -> None:
+        self._client = client
         self._cache = cache
         self._cache_results = cache_results
 
@@ -36,7 +36,7 @@
         wait_s = 0.0 if cached is not None else wait_s
         call = ReadResultsCall(job_id, next_position, wait_s)
         try:
-            reply = await self._jobs.call(call, job_id, timeout_s + wait_s)
+            reply = await self._client.call(call, job_id, timeout_s + wait_s)
         except StileloomError:
             if cached is None:
                 raise
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -133,7 +133,7 @@
             pending.task.add_done_callback(partial(self._on_task_done, pending))
 
     def _total_slots(self, service: str) -> int:
-        return sum(belief.entry.slots for belief in self._samplers.of_service(service))
+        return sum(sampler.entry.slots for sampler in self._samplers.of_service(service))
 
     async def _call(
         self, pending: PendingReward, route: Route, service: str, window: RewardWindow
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -219,8 +219,10 @@
         self.scheduler.cache_tokens[service.name] = service.engine.cache_tokens
         self.scheduler.share_out(service.name, models)
         if now >= max(self._orders_allowed_at, self._version_list_deadline):
-            single = {item.model for item in self.scheduler.items.values() if item.single_version}
-            for load in self.planner.plan(now, service.name, models, single):
+            single_version_models = {
+                item.model for item in self.scheduler.items.values() if item.single_version
+            }
+            for load in self.planner.plan(now, service.name, models, single_version_models):
                 for open_item in load.evacuate:
                     self._stop_run(open_item, "the sampler loads")
                     open_item.not_before = 0.0
@@ -256,7 +258,7 @@
         for job_id in {job_id for job_id, _ in self.scheduler.items}:
             job_record = self._registry.jobs.get(job_id)
             if job_record is None or not job_record.is_open:
-                self._drop(job_id)
+                self._remove_job(job_id)
         for open_item in list(self.scheduler.items.values()):
             if now >= open_item.deadline and not open_item.finished:
                 self._finish(open_item, ItemState.GIVEN_UP, "out of time")
@@ -315,7 +317,7 @@
         route = self._routes.match(record.submission.host, record.submission.path)
         return route if route is not None and route.kind is RouteKind.BATCH else None
 
-    def _drop(self, job_id: str) -> None:
+    def _remove_job(self, job_id: str) -> None:
         self._metrics.job_time.observe(steady_time() - self._adopted[job_id])
         for open_item in self.scheduler.drop_job(job_id):
             self._stop_run(open_item, "job ended")
@@ -329,11 +331,11 @@
         run = start.run
         if open_item.run is not run:
             return
-        belief = self._samplers.get(start.sampler_id)
-        if belief is None:
+        sampler = self._samplers.get(start.sampler_id)
+        if sampler is None:
             self.scheduler.run_ended(open_item)
             return
-        entry = belief.entry
+        entry = sampler.entry
         if not self._suspects.may_start(open_item, entry.sampler_id):
             return
         try:
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -99,8 +99,8 @@
             if item.item_id in record.listed or key in self.items:
                 continue
             saved = record.progress.get(item.item_id)
-            kept = self._kept.pop(item.item_id, None)
-            partial = saved.copy() if saved is not None else kept
+            retained = self._kept.pop(item.item_id, None)
+            partial = saved.copy() if saved is not None else retained
             if partial is None or not partial.satisfies(submission.min_version, single_version):
                 partial = PartialText()
             size = sizes.get(item.item_id, ItemSize())
@@ -156,9 +156,9 @@
     def measured_intervals(self) -> dict[str, float]:
         """Returns the event interval of each known sampler for which it was measured."""
         return {
-            belief.entry.sampler_id: round(stats.interval_s, 4)
-            for belief in self._samplers.all()
-            if (stats := self._stats.get(belief.entry.sampler_id)) is not None and stats.measured
+            sampler.entry.sampler_id: round(stats.interval_s, 4)
+            for sampler in self._samplers.all()
+            if (stats := self._stats.get(sampler.entry.sampler_id)) is not None and stats.measured
         }
 
     def models_of(self, sampler_id: str) -> SamplerModels:
@@ -169,13 +169,13 @@
         """Returns the model assigned to each sampler; empty if every sampler serves all models."""
         if not self._switches.sampler_shares:
             return {}
-        ids = frozenset(belief.entry.sampler_id for belief in self._samplers.of_service(service))
+        ids = frozenset(sampler.entry.sampler_id for sampler in self._samplers.of_service(service))
         demand = {model: self._demand.get(model, DEFAULT_EXPECTED_TOKENS) for model in models}
-        state = (ids, frozenset(models))
-        if state != self._assignment_inputs or self._demand_changed(demand):
+        inputs = (ids, frozenset(models))
+        if inputs != self._assignment_inputs or self._demand_changed(demand):
             current = {**self._assignment_from_versions(ids, models), **self._assignment}
             self._assignment = assign_samplers(sorted(ids), demand, current)
-            self._assignment_inputs = state
+            self._assignment_inputs = inputs
             self._assigned_demand = demand
         return self._assignment
 
@@ -191,8 +191,10 @@
         for sampler_id in sampler_ids:
             versions = self.models_of(sampler_id).versions
             newest = max(models, key=lambda model: versions.get(model, 0))
-            behind = [model for model in models if versions.get(model, 0) < versions.get(newest, 0)]
-            if behind:
+            outdated = [
+                model for model in models if versions.get(model, 0) < versions.get(newest, 0)
+            ]
+            if outdated:
                 assignment[sampler_id] = newest
         return assignment
 
@@ -200,11 +202,14 @@
         if set(demand) != set(self._assigned_demand):
             return True
         total = sum(demand.values()) or 1.0
-        used_total = sum(self._assigned_demand.values()) or 1.0
+        assigned_total = sum(self._assigned_demand.values()) or 1.0
         for model, amount in demand.items():
-            part = amount / total
-            used = self._assigned_demand[model] / used_total
-            if part > used * DEMAND_CHANGE_FACTOR or used > part * DEMAND_CHANGE_FACTOR:
+            share = amount / total
+            assigned_share = self._assigned_demand[model] / assigned_total
+            if (
+                share > assigned_share * DEMAND_CHANGE_FACTOR
+                or assigned_share > share * DEMAND_CHANGE_FACTOR
+            ):
                 return True
         return False
 
@@ -234,10 +239,10 @@
             for open_item in self.waiting_items(model):
                 if now < open_item.not_before:
                     continue
-                belief = self._best_sampler(open_item, now)
-                if belief is None:
+                sampler = self._best_sampler(open_item, now)
+                if sampler is None:
                     continue
-                starts.append(self._start(open_item, belief.entry.sampler_id, now))
+                starts.append(self._start(open_item, sampler.entry.sampler_id, now))
         return starts
 
     def _start(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
@@ -251,22 +256,22 @@
 
     def _best_sampler(self, open_item: OpenItem, now: float) -> SamplerBelief | None:
         candidates = [
-            belief
-            for belief in self._samplers.of_service(open_item.service)
-            if self._can_run(open_item, belief, now)
+            sampler
+            for sampler in self._samplers.of_service(open_item.service)
+            if self._can_run(open_item, sampler, now)
         ]
         if not candidates:
             return None
-        return min(candidates, key=lambda belief: self._cost(open_item, belief))
+        return min(candidates, key=lambda sampler: self._cost(open_item, sampler))
 
-    def _can_run(self, open_item: OpenItem, belief: SamplerBelief, now: float) -> bool:
-        sampler_id = belief.entry.sampler_id
+    def _can_run(self, open_item: OpenItem, sampler: SamplerBelief, now: float) -> bool:
+        sampler_id = sampler.entry.sampler_id
         if not self.serves(sampler_id, open_item.model):
             return False
         stats = self.pace(sampler_id)
-        if stats.running >= belief.entry.slots or now < stats.refused_until:
+        if stats.running >= sampler.entry.slots or now < stats.refused_until:
             return False
-        if belief.suspect_until > now or (belief.failures and stats.running):
+        if sampler.suspect_until > now or (sampler.failures and stats.running):
             # After a failure no run starts until the suspicion expires, then one run as a probe.
             return False
         if stats.running and stats.tokens + open_item.estimated_tokens > self._cache_tokens(
@@ -282,29 +287,29 @@
         text_versions = open_item.partial.versions
         return not (open_item.single_version and text_versions and text_versions != [version])
 
-    def _cost(self, open_item: OpenItem, belief: SamplerBelief) -> tuple[bool, float]:
-        stats = self.pace(belief.entry.sampler_id)
-        fill = stats.running / max(1, belief.entry.slots)
+    def _cost(self, open_item: OpenItem, sampler: SamplerBelief) -> tuple[bool, float]:
+        stats = self.pace(sampler.entry.sampler_id)
+        fill = stats.running / max(1, sampler.entry.slots)
         slowdown = FULL_SAMPLER_SLOWDOWN if self._switches.fastest_first else 1.0
         cost = stats.interval_s * (1.0 + slowdown * fill)
-        bonus = self._switches.group_bonus and open_item.item.group
-        if bonus and open_item.item.group in stats.groups:
+        has_discount = self._switches.group_bonus and open_item.item.group
+        if has_discount and open_item.item.group in stats.groups:
             cost *= SHARED_PROMPT_COST_FACTOR
-        return (belief.entry.sampler_id == open_item.avoid_sampler_id, cost)
+        return (sampler.entry.sampler_id == open_item.avoid_sampler_id, cost)
 
     def unresponsive_runs(self, now: float) -> list[OpenItem]:
-        """Returns runs whose sampler produced no event within the timeout."""
-        moves: list[OpenItem] = []
+        """Returns runs without an event within the timeout and marks their samplers as failed."""
+        unresponsive: list[OpenItem] = []
         for open_item in self.items.values():
             run = open_item.run
             if run is None:
                 continue
             loading = self.models_of(run.sampler_id).loading == open_item.model
-            limit_s = LOADING_EVENT_TIMEOUT_S if loading else SILENCE_S
-            if now - run.last_event_at > limit_s:
+            timeout_s = LOADING_EVENT_TIMEOUT_S if loading else SILENCE_S
+            if now - run.last_event_at > timeout_s:
                 self._samplers.failed(run.sampler_id, now)
-                moves.append(open_item)
-        return moves
+                unresponsive.append(open_item)
+        return unresponsive
 
     def slow_runs(self, now: float) -> list[OpenItem]:
         """Returns runs that would finish sooner elsewhere, longest remaining output first."""
@@ -363,12 +368,12 @@
             if item.model == model and item.run is not None and item.run.sampler_id == sampler_id
         ]
         free_slots = 0
-        for belief in self._samplers.all():
-            other_id = belief.entry.sampler_id
+        for sampler in self._samplers.all():
+            other_id = sampler.entry.sampler_id
             if other_id == sampler_id:
                 continue
-            if runs and all(self._can_run(item, belief, now) for item in runs):
-                free_slots += belief.entry.slots - self.pace(other_id).running
+            if runs and all(self._can_run(item, sampler, now) for item in runs):
+                free_slots += sampler.entry.slots - self.pace(other_id).running
         return runs if free_slots - reserved_slots >= len(runs) else None
 
     def items_to_save(self) -> list[OpenItem]:
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -59,10 +59,12 @@
             return False
         return True
 
-    def on_run_broken(self, open_item: OpenItem, entry: SamplerEntry, ran_s: float) -> None:
+    def on_run_broken(
+        self, open_item: OpenItem, entry: SamplerEntry, run_duration_s: float
+    ) -> None:
         """Checks whether the sampler crashed shortly after the run of the item started."""
-        if ran_s <= BEGAN_LATELY_S:
-            self._tasks.spawn(self._check_for_crash(open_item, entry, ran_s))
+        if run_duration_s <= BEGAN_LATELY_S:
+            self._tasks.spawn(self._check_for_crash(open_item, entry, run_duration_s))
 
     def on_complete_text(self, open_item: OpenItem) -> None:
         """Reports a complete text, which clears the item of suspicion."""
@@ -79,10 +81,10 @@
         return identity_of("POST", item.path, headers, item.body)
 
     async def _check_for_crash(
-        self, open_item: OpenItem, entry: SamplerEntry, ran_s: float
+        self, open_item: OpenItem, entry: SamplerEntry, run_duration_s: float
     ) -> None:
         identity = self._identity(open_item)
-        await self._guard.judge(open_item.item.item_id, identity, entry, ran_s)
+        await self._guard.judge(open_item.item.item_id, identity, entry, run_duration_s)
 
     def _reserve_sampler(self, suspect: OpenItem, sampler_id: str) -> bool:
         """Reserves a sampler for a suspect unless another one runs there."""
@@ -111,6 +113,6 @@
             },
         )
 
-    def _postpone(self, open_item: OpenItem, pause_s: float, avoid: bool) -> None:
+    def _postpone(self, open_item: OpenItem, delay_s: float, avoid: bool) -> None:
         self._scheduler.run_ended(open_item, avoid=avoid)
-        open_item.not_before = steady_time() + pause_s
+        open_item.not_before = steady_time() + delay_s
--- a/stileloom/jobs/version_planner.py
+++ b/stileloom/jobs/version_planner.py
@@ -70,11 +70,11 @@
         self, now: float, service: str, models: list[str], single_version: set[str]
     ) -> list[Load]:
         """Selects loads to order now and marks their samplers as loading."""
-        beliefs = self._samplers.of_service(service)
+        samplers = self._samplers.of_service(service)
         loading = sum(
             1
-            for belief in beliefs
-            if self._scheduler.models_of(belief.entry.sampler_id).loading is not None
+            for sampler in samplers
+            if self._scheduler.models_of(sampler.entry.sampler_id).loading is not None
         )
         candidates: list[tuple[int, int, Load]] = []
         for model in models:
@@ -83,7 +83,7 @@
         chosen: list[Load] = []
         reserved_slots = 0
         for _, _, load in candidates:
-            if loading + len(chosen) >= self._max_loads(len(beliefs)):
+            if loading + len(chosen) >= self._max_loads(len(samplers)):
                 break
             # Candidates were checked independently; together they may need more slots than free.
             if load.evacuate and not self._has_free_slots(load, now, reserved_slots):
@@ -107,21 +107,23 @@
     ) -> list[tuple[int, int, Load]]:
         target = self.targets.get(model, 0)
         waiting = self._scheduler.waiting_items(model)
-        needed = max((item.min_version for item in waiting), default=0)
+        required_version = max((item.min_version for item in waiting), default=0)
         rows: list[tuple[int, int, Load]] = []
-        for belief in self._samplers.of_service(service):
-            sampler_id = belief.entry.sampler_id
+        for sampler in self._samplers.of_service(service):
+            sampler_id = sampler.entry.sampler_id
             models = self._scheduler.models_of(sampler_id)
             version = models.versions.get(model, 0)
             if version >= target or models.loading is not None:
                 continue
             if not self._scheduler.serves(sampler_id, model):
                 continue
-            if now < self._not_before.get(sampler_id, 0.0) or belief.suspect_until > now:
+            if now < self._not_before.get(sampler_id, 0.0) or sampler.suspect_until > now:
                 continue
-            load = self._load(now, belief, model, target, version < needed, bool(waiting))
+            load = self._load(
+                now, sampler, model, target, version < required_version, bool(waiting)
+            )
             if load is not None:
-                rank = 0 if version < needed else 1
+                rank = 0 if version < required_version else 1
                 running = self._scheduler.running_on(sampler_id, model)
                 if load.strategy is LoadStrategy.RETAIN and single_version:
                     load = msgspec.structs.replace(load, strategy=LoadStrategy.WAIT)
@@ -131,23 +133,23 @@
     def _load(
         self,
         now: float,
-        belief: SamplerBelief,
+        sampler: SamplerBelief,
         model: str,
         target: int,
-        needed: bool,
+        is_required: bool,
         has_waiting_items: bool,
     ) -> Load | None:
         """Returns the load of a sampler, or None if it has to wait."""
-        sampler_id = belief.entry.sampler_id
+        sampler_id = sampler.entry.sampler_id
         runs_to_evacuate = self._scheduler.runs_to_evacuate(sampler_id, model, now)
         if runs_to_evacuate and not self._switches.evacuation:
             runs_to_evacuate = None
-        if not needed:
+        if not is_required:
             if has_waiting_items or now - self._announced_at.get(model, now) < SETTLE_S:
                 return None
             if (
                 runs_to_evacuate is None
-                or len(runs_to_evacuate) > belief.entry.slots * MAX_EVACUATED_SLOT_SHARE
+                or len(runs_to_evacuate) > sampler.entry.slots * MAX_EVACUATED_SLOT_SHARE
             ):
                 return None
         if runs_to_evacuate is not None:
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -77,10 +77,10 @@
             models.loading = None
 
     async def _order(self, load: Load) -> OrderOutcome:
-        belief = self._samplers.get(load.sampler_id)
-        if belief is None:
+        sampler = self._samplers.get(load.sampler_id)
+        if sampler is None:
             return OrderOutcome.GONE
-        target = ControlTarget(load.sampler_id, belief.entry.address)
+        target = ControlTarget(load.sampler_id, sampler.entry.address)
         report = await self._control.report(target)
         if report is None:
             self._planner.postpone(load.sampler_id, steady_time() + REPORT_RETRY_S)
@@ -124,10 +124,10 @@
         deadline = steady_time() + LOAD_TIMEOUT_S
         idle_reports = 0
         while steady_time() < deadline:
-            belief = self._samplers.get(load.sampler_id)
-            if belief is None:
+            sampler = self._samplers.get(load.sampler_id)
+            if sampler is None:
                 return
-            target = ControlTarget(load.sampler_id, belief.entry.address)
+            target = ControlTarget(load.sampler_id, sampler.entry.address)
             report = await self._control.report(target)
             if report is not None:
                 self.record_versions(load.sampler_id, report.model_versions)
--- a/tests/test_item_stream.py
+++ b/tests/test_item_stream.py
@@ -38,7 +38,7 @@
 
 
 def event(number: int, version: int | None = None) -> bytes:
-    """The bytes of an event."""
+    """Encodes an event."""
     change = f"{NAMES.versions.lower()}: {version}\n" if version is not None else ""
     return f"{change}id: {number}\ndata: d{number}\n\n".encode()
 
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -30,14 +30,14 @@
     return ResultPage(total, last, results(first, last))
 
 
-class Leader:
+class FakeLeader:
     """A fake leader that has listed some results."""
 
     def __init__(self, listed: int) -> None:
         self.listed = listed
         self.calls: list[ReadResultsCall] = []
         self.reachable = True
-        self.knows = True
+        self.job_exists = True
 
     async def call(self, request: JobRequest, request_id: str, timeout_s: float) -> JobReply:
         """Handles a read."""
@@ -45,7 +45,7 @@
         self.calls.append(request)
         if not self.reachable:
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "away")
-        if not self.knows:
+        if not self.job_exists:
             return NoSuchJob()
         return ResultsRead(page(request.position, max(request.position, self.listed)))
 
@@ -55,7 +55,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.leader = Leader(4)
+        self.leader = FakeLeader(4)
         self.cache = ResultCache()
         self.reader = ResultReader(self.leader, self.cache)
 
@@ -86,7 +86,7 @@
 
     def test_a_job_that_no_longer_exists_is_removed_from_the_cache(self) -> None:
         self.read(0)
-        self.leader.knows = False
+        self.leader.job_exists = False
         self.assertEqual(NoSuchJob(), self.read(0))
         self.assertIsNone(self.cache.page("j", 0))
 
