--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -414,23 +414,23 @@
         "a new leader shares the samplers anew",
         "work goes on after an election",
         "stileloom/jobs/scheduler.py",
-        "current = {**self._share_by_versions(ids, models), **self._share}",
-        "current = self._share",
+        "current = {**self._assignment_from_versions(ids, models), **self._assignment}",
+        "current = self._assignment",
         "tests/test_item_scheduler.py",
     ),
     Mutant(
         "two samplers load at a time, however many there are",
         "versions keep pace",
         "stileloom/jobs/version_planner.py",
-        "max(MIN_LOADS_AT_ONCE, int(samplers * LOADING_SHARE))",
-        "MIN_LOADS_AT_ONCE",
+        "max(MIN_CONCURRENT_LOADS, int(samplers * MAX_LOADING_SHARE))",
+        "MIN_CONCURRENT_LOADS",
         "tests/test_item_scheduler.py",
     ),
     Mutant(
         "a sampler that does not answer gets as many runs as it has slots",
         "work goes where it runs",
         "stileloom/jobs/scheduler.py",
-        "if belief.suspect_until > now or (belief.failures and pace.running):",
+        "if sampler.suspect_until > now or (sampler.failures and stats.running):",
         "if False:",
         "tests/test_item_scheduler.py",
     ),
@@ -494,19 +494,19 @@
         "an item gets the score of another one",
         "scored items",
         "stileloom/jobs/reward_caller.py",
-        "            self._owner.scored(pending.item, score)",
+        "            self._listener.on_scored(pending.item, score)",
         "            other = next(iter(self._pending.values()), pending)\n"
-        "            self._owner.scored(other.item, score)",
+        "            self._listener.on_scored(other.item, score)",
         f"{REWARDS}::RewardTest::test_results_carry_the_score_of_a_call_made_after_the_last_event",
     ),
     Mutant(
         "the reward call is sent before the last event was made",
         "scored items",
         "stileloom/jobs/runner.py",
-        "        self.scheduler.event(open_item, now)",
-        "        self.scheduler.event(open_item, now)\n"
+        "        self.scheduler.record_event(open_item, now)",
+        "        self.scheduler.record_event(open_item, now)\n"
         "        if open_item.item.reward is not None:\n"
-        "            self._rewards.ask(open_item, open_item.item.reward)",
+        "            self._rewards.request_score(open_item, open_item.item.reward)",
         f"{REWARDS}::RewardTest::test_results_carry_the_score_of_a_call_made_after_the_last_event",
     ),
     Mutant(
@@ -522,8 +522,9 @@
         "the calls of an ended job go on",
         "scored items",
         "stileloom/jobs/runner.py",
-        "            self._rewards.drop(open_item.key)\n        self._writer.wake(job_id)",
-        "        self._writer.wake(job_id)",
+        "            self._rewards.cancel(open_item.key)\n"
+        "        self._writer.notify_waiters(job_id)",
+        "        self._writer.notify_waiters(job_id)",
         f"{REWARDS}::RewardTest::test_the_calls_of_an_ended_job_stop",
     ),
     Mutant(
