--- a/stileloom/routing/__init__.py
+++ b/stileloom/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing of lookups: limits, choice of a sampler, retries, outcomes."""
+"""Lookup routing: admission limits, sampler selection, retries and outcomes."""
 
 from stileloom.routing.gateway import Gateway, GatewayView
 from stileloom.routing.messages import AnswerReady, LookupAnswer, LookupRequest, TokensReady
--- a/stileloom/routing/choice.py
+++ b/stileloom/routing/choice.py
@@ -1,8 +1,8 @@
-"""Choice of a sampler: own zone first, prefix affinity with bounded load, else two choices.
+"""Sampler selection: prefers the local zone, then prefix affinity or power of two choices.
 
-Sources: Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016),
-over rendezvous hashing; Mitzenmacher, "The Power of Two Choices" (2001). The load of a
-sampler is the larger of its last report, which lags, and what this gateway has under way.
+Prefix affinity uses rendezvous hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam,
+"Consistent Hashing with Bounded Loads", 2016). Requests without a prefix key use two random
+choices (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A sampler that may take the request."""
+    """A sampler eligible for the request."""
 
     sampler_id: str
     zone: str
     load: int
-    """Requests known to be on it."""
+    """Running requests: the larger of the last reported count and this gateway's own count."""
 
 
 def choose_sampler(
     candidates: list[Candidate], zone: str, prefix_key: str, rng: random.Random
 ) -> str | None:
-    """The sampler for a request, or None where there is none."""
+    """Selects the sampler for a request, or None if there are no candidates."""
     if not candidates:
         return None
-    near = [candidate for candidate in candidates if candidate.zone == zone]
-    pool = near or candidates
+    same_zone = [candidate for candidate in candidates if candidate.zone == zone]
+    eligible = same_zone or candidates
     if prefix_key:
-        return _by_affinity(pool, prefix_key)
-    return _by_two_choices(pool, rng)
+        return _by_affinity(eligible, prefix_key)
+    return _by_two_choices(eligible, rng)
 
 
-def _by_affinity(pool: list[Candidate], prefix_key: str) -> str:
-    average = sum(candidate.load for candidate in pool) / len(pool)
-    bound = LOAD_BOUND_FACTOR * average + 1
-    loads = {candidate.sampler_id: candidate.load for candidate in pool}
+def _by_affinity(candidates: list[Candidate], prefix_key: str) -> str:
+    mean_load = sum(candidate.load for candidate in candidates) / len(candidates)
+    bound = LOAD_BOUND_FACTOR * mean_load + 1
+    loads = {candidate.sampler_id: candidate.load for candidate in candidates}
     ranked = rendezvous_ranked(prefix_key, loads)
     return next((sampler for sampler in ranked if loads[sampler] <= bound), ranked[0])
 
 
-def _by_two_choices(pool: list[Candidate], rng: random.Random) -> str:
-    drawn = rng.sample(pool, min(2, len(pool)))
-    return min(drawn, key=lambda candidate: (candidate.load, candidate.sampler_id)).sampler_id
+def _by_two_choices(candidates: list[Candidate], rng: random.Random) -> str:
+    sampled = rng.sample(candidates, min(2, len(candidates)))
+    return min(sampled, key=lambda candidate: (candidate.load, candidate.sampler_id)).sampler_id
--- a/stileloom/routing/execution.py
+++ b/stileloom/routing/execution.py
@@ -1,7 +1,7 @@
-"""One lookup under way: its attempts, its tokens, and what is known of its outcome.
+"""State of one in-flight lookup: its attempts, its tokens and its outcome.
 
-The outcome rule: a request is `not_run` only while no byte of any attempt has gone to an
-engine that may have begun it, or after the engine confirmed that it never began.
+A request is reported as `not_run` only if no attempt was sent to an engine, or if the engine
+confirmed that the attempt was never started.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 def is_attempt_id(request_id: str) -> bool:
-    """Whether a stream's id is that of a lookup's attempt, not of a generation."""
+    """Whether a stream ID belongs to a lookup attempt rather than to a generation."""
     return "#" in request_id
 
 
 class ExecutionState(enum.Enum):
-    """Where a request is."""
+    """State of a request in the gateway."""
 
     CLAIMING = "claiming"
     QUEUED = "queued"
     RUNNING = "running"
     CONFIRMING = "confirming"
-    """Its only attempt failed; the engine is asked whether it began."""
+    """The last attempt failed; the engine is asked whether it was started."""
 
 
 class Execution(msgspec.Struct):
@@ -42,36 +42,36 @@
     attempts: int = 0
     attempt_id: str = ""
     sampler_id: str = ""
-    may_have_begun: bool = False
-    """Whether an engine may have begun any attempt."""
-    may_have_begun_before: bool = False
-    """The same, leaving out the newest attempt."""
+    may_have_started: bool = False
+    """Whether an engine may have started any attempt."""
+    earlier_may_have_started: bool = False
+    """Whether an engine may have started any attempt before the current one."""
     tokens: list[int] = msgspec.field(default_factory=list)
     segments: list[Segment] = msgspec.field(default_factory=list)
-    progress_at: float = 0.0
-    """When the last token or the start of the attempt was."""
-    tried: list[str] = msgspec.field(default_factory=list)
+    last_progress_at: float = 0.0
+    """Time of the last token, of the start of the attempt, or of the confirmation request."""
+    tried_samplers: list[str] = msgspec.field(default_factory=list)
 
     @property
-    def outcome_if_given_up(self) -> Outcome:
-        """What may be said if it ends now without an answer."""
-        return Outcome.UNKNOWN if self.may_have_begun else Outcome.NOT_RUN
+    def outcome_on_failure(self) -> Outcome:
+        """The outcome to report if the request fails now."""
+        return Outcome.UNKNOWN if self.may_have_started else Outcome.NOT_RUN
 
     @property
-    def may_be_sent_again(self) -> bool:
-        """Whether a further attempt keeps `at most once`."""
-        return self.request.repeatable or not self.may_have_begun
+    def can_retry(self) -> bool:
+        """Whether another attempt is allowed under the at-most-once guarantee."""
+        return self.request.repeatable or not self.may_have_started
 
     def begin_attempt(self, now: float, sampler_id: str) -> GenerateRequest:
-        """The request of the next attempt; it resumes behind the tokens that are here."""
+        """Starts the next attempt, which resumes after the tokens received so far."""
         self.attempts += 1
         self.attempt_id = f"{self.request.request_id}#{self.attempts}"
         self.sampler_id = sampler_id
         self.state = ExecutionState.RUNNING
-        self.may_have_begun_before = self.may_have_begun
-        self.may_have_begun = True
-        self.progress_at = now
-        self.tried.append(sampler_id)
+        self.earlier_may_have_started = self.may_have_started
+        self.may_have_started = True
+        self.last_progress_at = now
+        self.tried_samplers.append(sampler_id)
         return GenerateRequest(
             request_id=self.attempt_id,
             model=self.model,
@@ -82,22 +82,22 @@
             prefix_key=self.request.prefix_key,
         )
 
-    def attempt_never_began(self) -> None:
-        """The newest attempt surely did not begin."""
-        self.may_have_begun = self.may_have_begun_before
+    def mark_attempt_not_started(self) -> None:
+        """Records that the engine did not start the current attempt."""
+        self.may_have_started = self.earlier_may_have_started
 
-    def take_chunk(self, now: float, chunk: StreamChunk) -> list[int] | None:
-        """Adds a chunk's tokens and returns them; None where the chunk leaves a gap."""
-        self.progress_at = now
+    def append_chunk(self, now: float, chunk: StreamChunk) -> list[int] | None:
+        """Appends a chunk and returns its new tokens, or None if tokens before it are missing."""
+        self.last_progress_at = now
         skip = len(self.tokens) - chunk.first_token
         if skip < 0:
             return None
-        fresh = chunk.tokens[skip:]
-        self.tokens.extend(fresh)
+        new_tokens = chunk.tokens[skip:]
+        self.tokens.extend(new_tokens)
         version = chunk.weight_version if chunk.weight_version is not None else 0
-        self.segments = extend_segments(self.segments, version, len(fresh))
-        return fresh
+        self.segments = extend_segments(self.segments, version, len(new_tokens))
+        return new_tokens
 
-    def is_whole(self, end: StreamEnd) -> bool:
-        """Whether the counted last frame agrees with what arrived."""
+    def is_complete(self, end: StreamEnd) -> bool:
+        """Whether all tokens counted in the end frame were received."""
         return end.token_count == len(self.tokens) and end.finish_reason != "cancelled"
--- a/stileloom/routing/explain.py
+++ b/stileloom/routing/explain.py
@@ -1,4 +1,4 @@
-"""Why a lookup would go where, and what policies see of it."""
+"""Routing explanations, and the inputs that policies get for a lookup."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def rule_inputs(request: LookupRequest) -> RuleInputs:
-    """What policies see of a lookup."""
+    """Returns the policy inputs for a lookup."""
     return RuleInputs(
         request=RequestInput(
             target=request.service,
@@ -26,14 +26,18 @@
 def explanation(
     request: LookupRequest,
     pool: str,
-    rows: list[CandidateView],
+    candidate_views: list[CandidateView],
     zone: str,
     policies: PolicyBook,
     inputs: RuleInputs,
     wall_time_s: float,
 ) -> Explanation:
-    """The explanation from what each sampler's check said."""
-    candidates = [Candidate(row.sampler_id, row.zone, row.load) for row in rows if row.eligible]
+    """Builds the explanation from the eligibility of each sampler."""
+    candidates = [
+        Candidate(candidate.sampler_id, candidate.zone, candidate.load)
+        for candidate in candidate_views
+        if candidate.eligible
+    ]
     outcomes = [
         outcome
         for kind in (RuleKind.PRIORITY, RuleKind.PLACEMENT)
@@ -45,5 +49,5 @@
         priority=policies.priority(inputs, wall_time_s),
         chosen=choose_sampler(candidates, zone, request.prefix_key, random.Random(0)),
         rules=[f"{outcome.policy}: {outcome.rule} = {outcome.value}" for outcome in outcomes],
-        candidates=rows,
+        candidates=candidate_views,
     )
--- a/stileloom/routing/gateway.py
+++ b/stileloom/routing/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's core: admits lookups, queues, routes, retries, and answers each one once."""
+"""The gateway core: admits, queues, routes and retries lookups, and answers each exactly once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stileloom.routing.choice import Candidate, choose_sampler
 from stileloom.routing.execution import Execution, ExecutionState, is_attempt_id
 from stileloom.routing.explain import explanation, rule_inputs
-from stileloom.routing.limits import Ejections, RetryBudget, TenantLimits
+from stileloom.routing.limits import RetryBudget, SamplerEjections, TenantLimits
 from stileloom.routing.messages import (
     AnswerReady,
     CandidateView,
@@ -32,28 +32,28 @@
 from stileloom.samplers.effects import CloseStream, ConfirmNotRun, OpenStream
 from stileloom.samplers.table import SamplerTable, SamplerView
 
-STALL_S = 3.0
-"""An attempt without a token for this long counts as failed."""
+STREAM_STALL_TIMEOUT_S = 3.0
+"""An attempt fails if it produces no token for this long."""
 CONFIRM_TIMEOUT_S = 1.0
 SERVICE_TIME_SMOOTHING = 0.1
-SERVICE_TIME_GUESS_S = 0.3
+INITIAL_SERVICE_TIME_S = 0.3
 
 
 class GatewayView(msgspec.Struct):
-    """What the gateway may look at in one call."""
+    """Read-only context of one call to the gateway."""
 
     configuration: Configuration | None
     policies: PolicyBook
     table: SamplerTable
     subset: Callable[[str], list[str]]
-    """The samplers of a pool that this gateway routes to."""
+    """Returns the samplers of a pool that this gateway routes to."""
     wall_time_s: float
     lease_valid: bool
     lease_age_s: float
 
 
 class Gateway:
-    """All lookups under way at one node."""
+    """All in-flight lookups of one node."""
 
     def __init__(self, node_id: str, zone: str, rng: random.Random, now: float) -> None:
         self.draining = False
@@ -66,22 +66,22 @@
         self._in_flight: dict[str, int] = {}
         self._retry_budget = RetryBudget(now)
         self._tenants = TenantLimits()
-        self._ejections = Ejections()
+        self._ejections = SamplerEjections()
         self._service_time_s: dict[str, float] = {}
 
     @property
     def open_count(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a final answer."""
         return len(self._executions)
 
     # Admission.
 
     def submit(self, now: float, request: LookupRequest, view: GatewayView) -> list[Effect]:
-        """Takes a request; exactly one `AnswerReady` follows, now or later."""
+        """Admits or rejects a request; emits exactly one `AnswerReady` for it, now or later."""
         try:
             service, pool = self._admit(now, request, view)
         except StileloomError as error:
-            return [AnswerReady(_refusal(request.request_id, error))]
+            return [AnswerReady(_rejection(request.request_id, error))]
         execution = Execution(
             request=request,
             priority=self._priority(request, view),
@@ -90,7 +90,7 @@
             arrived_at=now,
         )
         self._executions[request.request_id] = execution
-        self._retry_budget.request_seen()
+        self._retry_budget.record_request()
         if request.idempotency_key:
             execution.state = ExecutionState.CLAIMING
             return [ClaimWanted(request)]
@@ -98,23 +98,25 @@
 
     def _admit(self, now: float, request: LookupRequest, view: GatewayView) -> tuple[Service, Pool]:
         if view.configuration is None:
-            raise StileloomError(ErrorKind.NOT_READY, "no configuration learned yet")
+            raise StileloomError(ErrorKind.NOT_READY, "no configuration received yet")
         if self.draining:
             raise StileloomError(ErrorKind.DRAINING, f"node {self._node_id} is draining")
         service = view.configuration.services.get(request.service)
         pool = view.configuration.pools.get(service.pool) if service is not None else None
         if service is None or pool is None:
-            raise StileloomError(ErrorKind.UNKNOWN_SERVICE, f"no service {request.service!r}")
+            raise StileloomError(ErrorKind.UNKNOWN_SERVICE, f"unknown service {request.service!r}")
         if not view.lease_valid and not service.serve_when_cut_off:
-            raise StileloomError(ErrorKind.NOT_READY, "the configuration lease has lapsed")
+            raise StileloomError(ErrorKind.NOT_READY, "the configuration lease has expired")
         if now >= request.deadline_at:
-            raise StileloomError(ErrorKind.DEADLINE_PASSED, "the deadline passed before admission")
+            raise StileloomError(ErrorKind.DEADLINE_PASSED, "deadline exceeded before admission")
         wait_s = self._tenants.admit(
             now, request.service, request.tenant, service.tenant_requests_per_s
         )
         if wait_s is not None:
             raise StileloomError(
-                ErrorKind.RATE_LIMITED, f"tenant {request.tenant!r}", retry_after_s=wait_s
+                ErrorKind.RATE_LIMITED,
+                f"rate limit of tenant {request.tenant!r} exceeded",
+                retry_after_s=wait_s,
             )
         return service, pool
 
@@ -124,7 +126,7 @@
     def claimed(
         self, now: float, request_id: str, result: CommandResult | None, view: GatewayView
     ) -> list[Effect]:
-        """The ledger answered the claim of an idempotency key; None if not in time."""
+        """Handles the result of an idempotency key claim, None if the ledger did not respond."""
         execution = self._executions.get(request_id)
         if execution is None or execution.state is not ExecutionState.CLAIMING:
             return []
@@ -132,17 +134,19 @@
             execution.state = ExecutionState.QUEUED
             service = self._service(execution, view)
             if service is None:
-                error = StileloomError(ErrorKind.UNKNOWN_SERVICE, "the service was withdrawn")
-                return self._give_up(execution, error)
+                error = StileloomError(ErrorKind.UNKNOWN_SERVICE, "the service was removed")
+                return self._fail(execution, error)
             return self._enqueue(now, execution, service, view)
         if isinstance(result, Refused):
-            # An earlier request with this key may have run: the outcome is the table's.
+            # An earlier request with this key may have run: use the error kind's outcome.
             error = StileloomError(result.kind, result.detail)
-            return self._finish(execution, error=error, outcome=error.outcome)
+            return self._send_error(execution, error=error, outcome=error.outcome)
         error = StileloomError(
-            ErrorKind.LEDGER_UNAVAILABLE, "the key could not be claimed", Outcome.NOT_RUN
+            ErrorKind.LEDGER_UNAVAILABLE,
+            "no response to the claim of the idempotency key",
+            Outcome.NOT_RUN,
         )
-        return self._give_up(execution, error)
+        return self._fail(execution, error)
 
     # Queue.
 
@@ -154,17 +158,17 @@
             effects = self._try_start(now, execution, service, view)
             if effects is not None:
                 return effects
-        if not self._reachable(now, service, view):
-            error = StileloomError(ErrorKind.NO_SAMPLER, "no sampler can take the request")
-            return self._give_up(execution, error)
+        if not self._has_usable_sampler(now, service, view):
+            error = StileloomError(ErrorKind.NO_SAMPLER, "no usable sampler for the service")
+            return self._fail(execution, error)
         wait_s = self._expected_wait_s(execution, service, view, len(queue))
         if len(queue) >= service.queue_limit or now + wait_s >= execution.request.deadline_at:
             error = StileloomError(
                 ErrorKind.OVERLOADED,
-                f"{len(queue)} requests wait, about {wait_s:.1f} s",
+                f"{len(queue)} requests queued, expected wait {wait_s:.1f} s",
                 retry_after_s=max(1.0, wait_s),
             )
-            return self._give_up(execution, error)
+            return self._fail(execution, error)
         position = len(queue)
         while position > 0 and self._executions[queue[position - 1]].priority < execution.priority:
             position -= 1
@@ -174,36 +178,36 @@
     def _expected_wait_s(
         self, execution: Execution, service: Service, view: GatewayView, ahead: int
     ) -> float:
-        time_s = self._service_time_s.get(execution.request.service, SERVICE_TIME_GUESS_S)
-        places = max(1, len(view.subset(service.pool)) * service.concurrency_per_sampler)
-        return time_s * (ahead + 1) / places
+        time_s = self._service_time_s.get(execution.request.service, INITIAL_SERVICE_TIME_S)
+        capacity = max(1, len(view.subset(service.pool)) * service.concurrency_per_sampler)
+        return time_s * (ahead + 1) / capacity
 
     def tick(self, now: float, view: GatewayView) -> list[Effect]:
-        """Starts what can start; ends what is out of time or stalls."""
+        """Fails requests that timed out or stalled, and starts queued requests."""
         effects: list[Effect] = []
         for execution in list(self._executions.values()):
-            effects += self._check_time(now, execution, view)
+            effects += self._check_timeouts(now, execution, view)
         for service_name in list(self._queues):
-            effects += self._drain_queue(now, service_name, view)
+            effects += self._start_queued(now, service_name, view)
         return effects
 
-    def _check_time(self, now: float, execution: Execution, view: GatewayView) -> list[Effect]:
+    def _check_timeouts(self, now: float, execution: Execution, view: GatewayView) -> list[Effect]:
         if now >= execution.request.deadline_at:
             error = StileloomError(
-                ErrorKind.DEADLINE_PASSED, "out of time", execution.outcome_if_given_up
+                ErrorKind.DEADLINE_PASSED, "deadline exceeded", execution.outcome_on_failure
             )
-            return self._abandon(execution, error)
+            return self._cancel(execution, error)
         running = execution.state is ExecutionState.RUNNING
-        if running and now >= execution.progress_at + STALL_S:
+        if running and now >= execution.last_progress_at + STREAM_STALL_TIMEOUT_S:
             close = CloseStream(execution.sampler_id, execution.attempt_id)
-            return [close, *self._attempt_failed(now, execution, False, "stalled", view)]
+            return [close, *self._attempt_failed(now, execution, False, "stream stalled", view)]
         confirming = execution.state is ExecutionState.CONFIRMING
-        if confirming and now >= execution.progress_at + CONFIRM_TIMEOUT_S:
-            error = StileloomError(ErrorKind.SAMPLER_FAILED, "the sampler did not answer")
-            return self._finish(execution, error=error, outcome=Outcome.UNKNOWN)
+        if confirming and now >= execution.last_progress_at + CONFIRM_TIMEOUT_S:
+            error = StileloomError(ErrorKind.SAMPLER_FAILED, "no response from the sampler")
+            return self._send_error(execution, error=error, outcome=Outcome.UNKNOWN)
         return []
 
-    def _drain_queue(self, now: float, service_name: str, view: GatewayView) -> list[Effect]:
+    def _start_queued(self, now: float, service_name: str, view: GatewayView) -> list[Effect]:
         effects: list[Effect] = []
         queue = self._queues[service_name]
         while queue:
@@ -223,20 +227,21 @@
             return None
         return view.configuration.services.get(execution.request.service)
 
-    # Choice and attempts.
+    # Sampler selection and attempts.
 
     def _try_start(
         self, now: float, execution: Execution, service: Service, view: GatewayView
     ) -> list[Effect] | None:
-        """Starts an attempt, or returns None where no sampler has room."""
+        """Starts an attempt, or returns None if no sampler has capacity."""
         candidates = [
             Candidate(sampler.sampler_id, sampler.machine.zone, self._load(sampler))
             for sampler in self._samplers(service, view)
-            if self._fault(now, sampler, execution.model, execution.request, service, view) == ""
+            if self._ineligibility(now, sampler, execution.model, execution.request, service, view)
+            == ""
         ]
-        fresh = [c for c in candidates if c.sampler_id not in execution.tried]
+        untried = [c for c in candidates if c.sampler_id not in execution.tried_samplers]
         chosen = choose_sampler(
-            fresh or candidates, self._zone, execution.request.prefix_key, self._rng
+            untried or candidates, self._zone, execution.request.prefix_key, self._rng
         )
         if chosen is None:
             return None
@@ -252,7 +257,7 @@
     def _load(self, sampler: SamplerView) -> int:
         return max(sampler.running, self._in_flight.get(sampler.sampler_id, 0))
 
-    def _fault(
+    def _ineligibility(
         self,
         now: float,
         sampler: SamplerView,
@@ -261,62 +266,62 @@
         service: Service,
         view: GatewayView,
     ) -> str:
-        """Why a sampler may not take a request now; empty where it may."""
+        """Why a sampler cannot take a request now; empty if it can."""
         if sampler.leaving:
             return "leaving"
         if not sampler.usable(now) or sampler.load is None:
-            return "not heard of, loading, or on an unknown version"
+            return "no recent report, loading, or unknown weight version"
         if sampler.load.role is not SamplerRole.LOOKUP or sampler.load.model != model:
-            return f"works as {sampler.load.role.value} with {sampler.load.model}"
+            return f"has role {sampler.load.role.value} and model {sampler.load.model}"
         if self._ejections.is_ejected(now, sampler.sampler_id):
             return "ejected after failures"
         if self._in_flight.get(sampler.sampler_id, 0) >= service.concurrency_per_sampler:
-            return "has all requests that this gateway may give it"
+            return "at the concurrency limit of this gateway"
         pool = view.configuration.pools.get(service.pool) if view.configuration else None
         home_role = pool.home_role.value if pool is not None else ""
-        place = PoolInput(service.pool, sampler.machine.zone, home_role)
-        inputs = msgspec.structs.replace(rule_inputs(request), pool=place)
+        pool_input = PoolInput(service.pool, sampler.machine.zone, home_role)
+        inputs = msgspec.structs.replace(rule_inputs(request), pool=pool_input)
         if not view.policies.may_place(inputs, view.wall_time_s):
-            return "refused by a placement rule"
+            return "excluded by a placement rule"
         return ""
 
-    def _reachable(self, now: float, service: Service, view: GatewayView) -> bool:
-        """Whether any sampler could take requests once it has room."""
+    def _has_usable_sampler(self, now: float, service: Service, view: GatewayView) -> bool:
+        """Whether any sampler is usable, regardless of its load."""
         return any(
             sampler.usable(now) and not self._ejections.is_ejected(now, sampler.sampler_id)
             for sampler in self._samplers(service, view)
         )
 
     def owns_stream(self, attempt_id: str) -> bool:
-        """Whether a stream belongs to a lookup of this gateway that still waits for it."""
+        """Whether a stream is the current attempt of an in-flight lookup."""
         return attempt_id in self._by_attempt
 
     def stream_chunk(self, now: float, attempt_id: str, chunk: StreamChunk) -> list[Effect]:
-        """Tokens of an attempt. Those of an earlier attempt are dropped."""
+        """Handles tokens of an attempt; chunks of earlier attempts are dropped."""
         execution = self._current(attempt_id)
         if execution is None:
-            return _late(attempt_id)
+            return _late_response(attempt_id)
         first_token = len(execution.tokens)
-        fresh = execution.take_chunk(now, chunk)
-        if fresh is None:
+        new_tokens = execution.append_chunk(now, chunk)
+        if new_tokens is None:
             close = CloseStream(execution.sampler_id, attempt_id)
             self._end_attempt(execution)
-            error = StileloomError(ErrorKind.SAMPLER_FAILED, "the stream left a gap")
-            return [close, *self._finish(execution, error=error, outcome=Outcome.UNKNOWN)]
-        if execution.request.stream and fresh:
-            return [TokensReady(execution.request.request_id, first_token, fresh)]
+            error = StileloomError(ErrorKind.SAMPLER_FAILED, "the stream skipped tokens")
+            return [close, *self._send_error(execution, error=error, outcome=Outcome.UNKNOWN)]
+        if execution.request.stream and new_tokens:
+            return [TokensReady(execution.request.request_id, first_token, new_tokens)]
         return []
 
     def stream_end(
         self, now: float, attempt_id: str, end: StreamEnd, view: GatewayView
     ) -> list[Effect]:
-        """The counted last frame of an attempt."""
+        """Handles the end frame of an attempt, which carries the token count."""
         execution = self._current(attempt_id)
         if execution is None:
-            return _late(attempt_id)
-        if not execution.is_whole(end):
-            return self._attempt_failed(now, execution, False, "the stream was cut", view)
-        self._ejections.succeeded(execution.sampler_id)
+            return _late_response(attempt_id)
+        if not execution.is_complete(end):
+            return self._attempt_failed(now, execution, False, "stream truncated", view)
+        self._ejections.record_success(execution.sampler_id)
         self._end_attempt(execution)
         self._observe_service_time(now, execution)
         answer = LookupAnswer(
@@ -330,16 +335,21 @@
             revision_age_s=0.0 if view.lease_valid else view.lease_age_s,
         )
         del self._executions[execution.request.request_id]
-        return [AnswerReady(answer), *self._drain_queue_of(now, execution, view)]
+        return [AnswerReady(answer), *self._start_queued_for(now, execution, view)]
 
-    def _drain_queue_of(self, now: float, execution: Execution, view: GatewayView) -> list[Effect]:
+    def _start_queued_for(
+        self, now: float, execution: Execution, view: GatewayView
+    ) -> list[Effect]:
         name = execution.request.service
-        return self._drain_queue(now, name, view) if self._queues.get(name) else []
+        return self._start_queued(now, name, view) if self._queues.get(name) else []
 
     def stream_failed(
         self, now: float, attempt_id: str, surely_not_begun: bool, detail: str, view: GatewayView
     ) -> list[Effect]:
-        """An attempt failed; `surely_not_begun` where no byte was sent or it was refused."""
+        """Handles a failed attempt.
+
+        `surely_not_begun` is set if no byte was sent or the sampler refused the request.
+        """
         execution = self._current(attempt_id)
         if execution is None:
             return []
@@ -354,16 +364,16 @@
         view: GatewayView,
     ) -> list[Effect]:
         effects: list[Effect] = []
-        # A refusal is the sampler's right (it swaps, or has left the role), not a fault.
-        if not surely_not_begun and self._ejections.failed(now, execution.sampler_id):
+        # A sampler refuses while it swaps weights or after a role change; that is no failure.
+        if not surely_not_begun and self._ejections.record_failure(now, execution.sampler_id):
             effects.append(Emit(LogEvent.SAMPLER_EJECTED, {"sampler": execution.sampler_id}))
         self._end_attempt(execution)
         if surely_not_begun:
-            execution.attempt_never_began()
-        if not execution.may_be_sent_again:
+            execution.mark_attempt_not_started()
+        if not execution.can_retry:
             execution.state = ExecutionState.CONFIRMING
-            execution.progress_at = now
-            # Tombstones the id at the engine, so "not run" stays true if it says so.
+            execution.last_progress_at = now
+            # The engine tombstones the ID, so a reply of "not run" stays true.
             return [*effects, ConfirmNotRun(execution.sampler_id, execution.attempt_id)]
         return effects + self._retry(now, execution, detail, view)
 
@@ -383,37 +393,37 @@
                 }
                 return [Emit(event, fields), *started]
         error = StileloomError(
-            ErrorKind.SAMPLER_FAILED, detail, execution.outcome_if_given_up, retry_after_s=1.0
+            ErrorKind.SAMPLER_FAILED, detail, execution.outcome_on_failure, retry_after_s=1.0
         )
-        return self._give_up(execution, error)
+        return self._fail(execution, error)
 
     def cancel_confirmed(
         self, now: float, attempt_id: str, state: CancelState | None
     ) -> list[Effect]:
-        """The engine said whether the request ever began; None if it did not answer."""
+        """Handles the engine's reply whether the request was started; None if there was none."""
         request_id = attempt_id.rsplit("#", 1)[0]
         execution = self._executions.get(request_id)
         if execution is None or execution.state is not ExecutionState.CONFIRMING:
             return []
         if state is CancelState.NEVER_BEGAN:
-            execution.attempt_never_began()
-        outcome = execution.outcome_if_given_up
+            execution.mark_attempt_not_started()
+        outcome = execution.outcome_on_failure
         error = StileloomError(
             ErrorKind.SAMPLER_FAILED, "the sampler failed", outcome, retry_after_s=1.0
         )
-        return self._give_up(execution, error)
+        return self._fail(execution, error)
 
     def cancelled_by_caller(self, request_id: str) -> list[Effect]:
-        """The caller went away: nothing more is to be sent or run for it."""
+        """Cancels a request whose caller disconnected."""
         execution = self._executions.get(request_id)
         if execution is None:
             return []
         error = StileloomError(
-            ErrorKind.DEADLINE_PASSED, "the caller went away", execution.outcome_if_given_up
+            ErrorKind.DEADLINE_PASSED, "the caller disconnected", execution.outcome_on_failure
         )
-        return self._abandon(execution, error)
+        return self._cancel(execution, error)
 
-    # Ends.
+    # Completion.
 
     def _current(self, attempt_id: str) -> Execution | None:
         request_id = self._by_attempt.get(attempt_id)
@@ -426,28 +436,28 @@
 
     def _observe_service_time(self, now: float, execution: Execution) -> None:
         name = execution.request.service
-        taken_s = now - execution.arrived_at
-        known = self._service_time_s.get(name, taken_s)
-        self._service_time_s[name] = known + SERVICE_TIME_SMOOTHING * (taken_s - known)
+        elapsed_s = now - execution.arrived_at
+        previous = self._service_time_s.get(name, elapsed_s)
+        self._service_time_s[name] = previous + SERVICE_TIME_SMOOTHING * (elapsed_s - previous)
 
-    def _abandon(self, execution: Execution, error: StileloomError) -> list[Effect]:
-        """Ends a request wherever it is, and cancels its attempt."""
+    def _cancel(self, execution: Execution, error: StileloomError) -> list[Effect]:
+        """Fails a request in any state and closes its stream."""
         effects: list[Effect] = []
         if execution.state is ExecutionState.RUNNING:
             effects.append(CloseStream(execution.sampler_id, execution.attempt_id))
             self._end_attempt(execution)
-        return effects + self._give_up(execution, error)
+        return effects + self._fail(execution, error)
 
-    def _give_up(self, execution: Execution, error: StileloomError) -> list[Effect]:
-        """The final answer, at once; a key whose request did not run is released."""
+    def _fail(self, execution: Execution, error: StileloomError) -> list[Effect]:
+        """Fails a request; releases its idempotency key if it was not run."""
         effects: list[Effect] = []
-        outcome = execution.outcome_if_given_up
+        outcome = execution.outcome_on_failure
         claimed = execution.state is not ExecutionState.CLAIMING
         if execution.request.idempotency_key and outcome is Outcome.NOT_RUN and claimed:
             effects.append(ReleaseWanted(execution.request))
-        return effects + self._finish(execution, error=error, outcome=outcome)
+        return effects + self._send_error(execution, error=error, outcome=outcome)
 
-    def _finish(
+    def _send_error(
         self, execution: Execution, error: StileloomError, outcome: Outcome
     ) -> list[Effect]:
         request_id = execution.request.request_id
@@ -465,21 +475,21 @@
         }
         return [Emit(LogEvent.REQUEST_FAILED, fields), AnswerReady(answer)]
 
-    # Explaining.
+    # Explain.
 
     def explain(self, now: float, request: LookupRequest, view: GatewayView) -> Explanation:
-        """Why a request would go where; raises what admission would."""
+        """Explains how a request would be routed. Raises the errors of admission."""
         service, pool = self._admit(now, request, view)
         rows = [
             CandidateView(
                 sampler.sampler_id,
                 sampler.machine.zone,
-                fault == "",
-                fault,
+                reason == "",
+                reason,
                 self._load(sampler),
             )
             for sampler in self._samplers(service, view)
-            for fault in [self._fault(now, sampler, pool.model, request, service, view)]
+            for reason in [self._ineligibility(now, sampler, pool.model, request, service, view)]
         ]
         inputs = rule_inputs(request)
         return explanation(
@@ -487,11 +497,11 @@
         )
 
 
-def _late(attempt_id: str) -> list[Effect]:
+def _late_response(attempt_id: str) -> list[Effect]:
     if not is_attempt_id(attempt_id):
         return []
     return [Emit(LogEvent.LATE_ANSWER_DROPPED, {"attempt": attempt_id})]
 
 
-def _refusal(request_id: str, error: StileloomError) -> LookupAnswer:
+def _rejection(request_id: str, error: StileloomError) -> LookupAnswer:
     return LookupAnswer(request_id, [], [], error.outcome, error=error)
--- a/stileloom/routing/limits.py
+++ b/stileloom/routing/limits.py
@@ -1,4 +1,4 @@
-"""Limits that protect samplers and callers: rates, retries, ejection of failing samplers."""
+"""Tenant rate limits, the retry budget, and ejection of failing samplers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TokenBucket:
-    """A rate limit with bursts."""
+    """A token bucket rate limiter."""
 
     def __init__(self, rate_per_s: float, burst: float, now: float) -> None:
         self._rate_per_s = rate_per_s
@@ -19,7 +19,7 @@
         self._updated_at = now
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Takes from the bucket if enough is there."""
+        """Takes `amount` if it is available."""
         self._fill(now)
         if self._level < amount:
             return False
@@ -27,7 +27,7 @@
         return True
 
     def add(self, amount: float) -> None:
-        """Puts something in, up to the burst."""
+        """Adds `amount`, up to the burst size."""
         self._level = min(self._burst, self._level + amount)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
@@ -42,31 +42,31 @@
 
 
 class RetryBudget:
-    """Retries as a share of requests, so that a failing pool is not flooded.
+    """Limits retries to a fraction of requests, so that retries do not overload a failing pool.
 
-    Each request adds `RETRY_BUDGET_RATIO`; a floor of retries a second is always there.
+    Each request adds `RETRY_BUDGET_RATIO`; `RETRY_BUDGET_MIN_PER_S` is always available.
     """
 
     def __init__(self, now: float) -> None:
         self._bucket = TokenBucket(constants.RETRY_BUDGET_MIN_PER_S, burst=20.0, now=now)
 
-    def request_seen(self) -> None:
-        """A request (not a retry) was admitted."""
+    def record_request(self) -> None:
+        """Records an admitted request (not a retry)."""
         self._bucket.add(constants.RETRY_BUDGET_RATIO)
 
     def may_retry(self, now: float) -> bool:
-        """Takes one retry out of the budget if there is one."""
+        """Takes one retry from the budget if one is available."""
         return self._bucket.take(now)
 
 
 class TenantLimits:
-    """One rate limit for each tenant of each service."""
+    """A rate limiter per service and tenant."""
 
     def __init__(self) -> None:
         self._buckets: dict[tuple[str, str, float], TokenBucket] = {}
 
     def admit(self, now: float, service: str, tenant: str, rate_per_s: float) -> float | None:
-        """None where the request is admitted, else the seconds until it would be."""
+        """Returns None if the request is admitted, else the seconds to wait before retrying."""
         key = (service, tenant, rate_per_s)
         bucket = self._buckets.get(key)
         if bucket is None:
@@ -83,18 +83,18 @@
     ejected_until: float = float("-inf")
 
 
-class Ejections:
-    """Takes samplers that fail again and again out of the choice for a while."""
+class SamplerEjections:
+    """Excludes repeatedly failing samplers from selection, with exponential backoff."""
 
     def __init__(self) -> None:
         self._health: dict[str, _Health] = {}
 
-    def succeeded(self, sampler_id: str) -> None:
-        """A request ended well."""
+    def record_success(self, sampler_id: str) -> None:
+        """Records a successful request."""
         self._health.pop(sampler_id, None)
 
-    def failed(self, now: float, sampler_id: str) -> bool:
-        """A request failed; returns whether this ejects the sampler."""
+    def record_failure(self, now: float, sampler_id: str) -> bool:
+        """Records a failed request; returns whether it ejects the sampler."""
         health = self._health.setdefault(sampler_id, _Health())
         health.failures += 1
         if health.failures < constants.EJECTION_FAILURES or now < health.ejected_until:
@@ -106,6 +106,6 @@
         return True
 
     def is_ejected(self, now: float, sampler_id: str) -> bool:
-        """Whether a sampler is out of the choice."""
+        """Whether a sampler is currently excluded from selection."""
         health = self._health.get(sampler_id)
         return health is not None and now < health.ejected_until
--- a/stileloom/routing/messages.py
+++ b/stileloom/routing/messages.py
@@ -1,4 +1,4 @@
-"""Records of a lookup on its way through a gateway."""
+"""Requests, answers and effects of the gateway."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LookupRequest(msgspec.Struct, frozen=True):
-    """A caller's request after its body and headers were checked."""
+    """A validated lookup request."""
 
     request_id: str
     service: str
@@ -18,7 +18,7 @@
     priority: int
     repeatable: bool
     deadline_at: float
-    """Monotonic seconds on this gateway's clock."""
+    """Deadline in seconds on this gateway's monotonic clock."""
     idempotency_key: str = ""
     body_digest: int = 0
     prefix_key: str = ""
@@ -26,29 +26,29 @@
 
 
 class LookupAnswer(msgspec.Struct, frozen=True):
-    """The final answer of a request: whole tokens, or an error with its outcome."""
+    """The final answer to a request: the complete tokens, or an error with its outcome."""
 
     request_id: str
     tokens: list[int]
     weight_versions: list[int]
-    """Versions that produced the tokens, oldest first."""
+    """Weight versions that produced the tokens, oldest first."""
     outcome: Outcome
     finish_reason: str = ""
     error: StileloomError | None = None
     attempts: int = 0
     revision: int = 0
     revision_age_s: float = 0.0
-    """How long the configuration lease had lapsed, 0 while it holds."""
+    """Seconds since the configuration lease expired, 0 while it is valid."""
 
 
 class AnswerReady(msgspec.Struct, frozen=True):
-    """Effect: send this answer to the caller now."""
+    """Effect: send the final answer to the caller."""
 
     answer: LookupAnswer
 
 
 class TokensReady(msgspec.Struct, frozen=True):
-    """Effect: pass these tokens on to a caller that asked for a stream."""
+    """Effect: send tokens to a caller that requested streaming."""
 
     request_id: str
     first_token: int
@@ -56,19 +56,19 @@
 
 
 class ClaimWanted(msgspec.Struct, frozen=True):
-    """Effect: claim the request's idempotency key in the ledger; answer with `claimed`."""
+    """Effect: claim the request's idempotency key in the ledger and call `Gateway.claimed`."""
 
     request: LookupRequest
 
 
 class ReleaseWanted(msgspec.Struct, frozen=True):
-    """Effect: release the key of a request that was surely not run."""
+    """Effect: release the idempotency key of a request that was not run."""
 
     request: LookupRequest
 
 
 class CandidateView(msgspec.Struct, frozen=True):
-    """Why a sampler would or would not take a request; for `explain`."""
+    """Eligibility of one sampler for a request, as shown by `explain`."""
 
     sampler_id: str
     zone: str
@@ -78,7 +78,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """Why a request would go where."""
+    """How a request would be routed, and why."""
 
     service: str
     pool: str
--- a/stileloom/routing/subset.py
+++ b/stileloom/routing/subset.py
@@ -1,7 +1,7 @@
-"""Subsets: a gateway routes to a bounded number of samplers of each pool.
+"""Deterministic subsetting: a gateway routes to a bounded number of samplers of each pool.
 
-Both sides compute the same subset, so an owner knows which gateways want its load reports.
-Samplers of the gateway's own zone come first; others fill up to the size.
+Gateways and owners compute the same subset, so an owner knows which gateways need its load
+reports. Samplers in the gateway's zone are preferred; samplers in other zones fill the rest.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 
 
 class PoolMachines:
-    """The samplers of one pool by zone."""
+    """The samplers of one pool, indexed by zone."""
 
     def __init__(self, machines: list[Machine]) -> None:
         self._by_zone: dict[str, list[str]] = {}
         for machine in machines:
             self._by_zone.setdefault(machine.zone, []).append(machine.sampler_id)
 
-    def near(self, zone: str) -> list[str]:
-        """Samplers of a zone."""
+    def in_zone(self, zone: str) -> list[str]:
+        """Returns the samplers in a zone."""
         return self._by_zone.get(zone, [])
 
-    def far(self, zone: str) -> list[str]:
-        """Samplers of every other zone."""
-        others = [names for other, names in self._by_zone.items() if other != zone]
-        return [name for names in others for name in names]
+    def outside_zone(self, zone: str) -> list[str]:
+        """Returns the samplers in all other zones."""
+        remaining = [names for other, names in self._by_zone.items() if other != zone]
+        return [name for names in remaining for name in names]
 
     def fill_subset(self, zone: str) -> bool:
-        """Whether a zone has enough samplers for the subsets of its gateways."""
-        return len(self.near(zone)) >= constants.SUBSET_SIZE
+        """Whether a zone alone has enough samplers to fill a subset."""
+        return len(self.in_zone(zone)) >= constants.SUBSET_SIZE
 
 
 def gateway_subset(gateway: str, gateway_zone: str, machines: PoolMachines) -> list[str]:
-    """The samplers of one pool that a gateway routes to."""
-    chosen = rendezvous_ranked(gateway, machines.near(gateway_zone))[: constants.SUBSET_SIZE]
+    """Returns the samplers of one pool that a gateway routes to."""
+    chosen = rendezvous_ranked(gateway, machines.in_zone(gateway_zone))[: constants.SUBSET_SIZE]
     missing = constants.SUBSET_SIZE - len(chosen)
     if missing > 0:
-        chosen += rendezvous_ranked(gateway, machines.far(gateway_zone))[:missing]
+        chosen += rendezvous_ranked(gateway, machines.outside_zone(gateway_zone))[:missing]
     return chosen
