--- a/stileloom/rollout/__init__.py
+++ b/stileloom/rollout/__init__.py
@@ -1,7 +1,7 @@
-"""Rollouts: which slot is generated where, and when samples are handed to their trainer."""
+"""Rollouts: scheduling of generations and delivery of samples to trainers."""
 
 from stileloom.rollout.controller import Controller
-from stileloom.rollout.delivery import DeliveryDesk, HandOverTicket, ProposeHandOver
+from stileloom.rollout.delivery import HandOverTicket, PendingReads, ProposeHandOver
 from stileloom.rollout.scheduler import (
     BaselineScheduler,
     DefaultScheduler,
@@ -17,9 +17,9 @@
     "Controller",
     "ControllerView",
     "DefaultScheduler",
-    "DeliveryDesk",
     "HandOverTicket",
     "Mechanism",
+    "PendingReads",
     "Propose",
     "ProposeHandOver",
     "Scheduler",
--- a/stileloom/rollout/assignments.py
+++ b/stileloom/rollout/assignments.py
@@ -1,4 +1,4 @@
-"""The controller's table of assignments: what runs where, adopted, lost or interrupted."""
+"""The controller's table of assignments: which sampler generates for which slot."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 
 
 class AssignmentTable:
-    """Assignments by slot, and the partial generations that wait to be resumed."""
+    """Assignments by slot, and partial generations waiting to be resumed."""
 
     def __init__(self) -> None:
-        self.ends = 0
-        """Raised whenever an assignment has its sample: there is room on a sampler."""
+        self.completions = 0
+        """Number of accepted samples; each frees capacity on a sampler."""
         self.interruptions = 0
-        """Raised whenever a slot may have to be started again, or was adopted."""
+        """Number of assignments that were interrupted, rejected, lost or adopted."""
         self._by_round: dict[str, dict[int, Assignment]] = {}
         self._count_by_sampler: dict[str, int] = {}
         self._partials: dict[str, dict[int, PartialGeneration]] = {}
 
-    def of_round(self, round_name: str) -> list[Assignment]:
-        """The assignments of a round."""
+    def for_round(self, round_name: str) -> list[Assignment]:
+        """Returns the assignments of a round."""
         return list(self._by_round.get(round_name, {}).values())
 
     def on_sampler(self, sampler_id: str) -> list[Assignment]:
-        """The assignments on a sampler."""
+        """Returns the assignments on a sampler."""
         return [a for a in self._all() if a.sampler_id == sampler_id]
 
     def count_on(self, sampler_id: str) -> int:
-        """How many assignments are on a sampler."""
+        """Returns the number of assignments on a sampler."""
         return self._count_by_sampler.get(sampler_id, 0)
 
     def is_assigned(self, round_name: str, slot: int) -> bool:
-        """Whether somebody generates for a slot."""
+        """Whether a slot has an assignment."""
         return slot in self._by_round.get(round_name, {})
 
     def _all(self) -> list[Assignment]:
@@ -60,46 +60,46 @@
         self._count_by_sampler[assignment.sampler_id] -= 1
 
     def partial(self, round_name: str, slot: int) -> PartialGeneration:
-        """What an earlier attempt left of a slot."""
+        """Returns the partial generation of a slot, empty if there is none."""
         return self._partials.get(round_name, {}).get(slot, NO_PARTIAL)
 
     def partial_slots(self, round_name: str) -> list[int]:
-        """Slots of a round that have a partial generation."""
+        """Returns the slots of a round that have a partial generation."""
         return list(self._partials.get(round_name, {}))
 
     def drop_partial(self, round_name: str, slot: int) -> int:
-        """Forgets a partial; returns the tokens given up."""
+        """Discards a partial generation; returns its token count."""
         partial = self._partials.get(round_name, {}).pop(slot, NO_PARTIAL)
         return len(partial.tokens)
 
     def oldest_versions(self, round_name: str) -> list[int]:
-        """The oldest version in each generation of a round that has tokens."""
-        versions = [a.oldest_version for a in self.of_round(round_name)]
+        """Returns the oldest weight version of each generation of a round that has tokens."""
+        versions = [a.oldest_version for a in self.for_round(round_name)]
         for slot in self.partial_slots(round_name):
             versions.append(oldest_version(self.partial(round_name, slot).segments))
         return [version for version in versions if version is not None]
 
     def add(self, assignment: Assignment) -> None:
-        """Somebody generates for a slot from now on."""
+        """Adds an assignment, replacing that of the same slot, and discards the slot's partial."""
         key = assignment.key
-        before = self._get(key.round_name, key.slot)
-        if before is not None:
-            self._drop(before)
+        existing = self._get(key.round_name, key.slot)
+        if existing is not None:
+            self._drop(existing)
         self._by_round.setdefault(key.round_name, {})[key.slot] = assignment
         count = self._count_by_sampler.get(assignment.sampler_id, 0)
         self._count_by_sampler[assignment.sampler_id] = count + 1
         self.drop_partial(key.round_name, key.slot)
 
-    def finished(self, message: GenerationFinished) -> Assignment | None:
-        """The ledger has answered an attempt's sample."""
+    def record_finished(self, message: GenerationFinished) -> Assignment | None:
+        """Removes a finished assignment; the ledger accepted or rejected its sample."""
         if message.accepted:
-            self.ends += 1
+            self.completions += 1
         else:
             self.interruptions += 1
         return self._remove(message.key)
 
-    def interrupted(self, message: GenerationInterrupted) -> Assignment | None:
-        """An attempt ended without a sample; what counts of it is kept."""
+    def record_interrupted(self, message: GenerationInterrupted) -> Assignment | None:
+        """Removes an assignment that ended without a sample; keeps its partial generation."""
         self.interruptions += 1
         assignment = self._remove(message.key)
         if assignment is not None and message.partial.tokens:
@@ -114,31 +114,31 @@
         self._drop(assignment)
         return assignment
 
-    def reported(
+    def apply_report(
         self, now: float, sender: str, running: list[RunningGeneration], state: LedgerState
     ) -> list[Effect]:
-        """An owner reported what it runs: confirms, adopts, or stops."""
+        """Confirms or adopts the generations an owner reports, and stops obsolete ones."""
         effects: list[Effect] = []
         for generation in running:
             key = generation.key
             round_state = state.rounds.get(key.round_name)
             slot = round_state.open_slots.get(key.slot) if round_state is not None else None
-            known = self._get(key.round_name, key.slot)
-            if slot is None or (known is not None and known.key != key):
+            current = self._get(key.round_name, key.slot)
+            if slot is None or (current is not None and current.key != key):
                 effects.append(Send(sender, StopGeneration(key)))
-            elif known is None:
+            elif current is None:
                 self.interruptions += 1
                 self.add(_adopted(now, sender, generation, slot.prompt))
             else:
-                known.confirmed_at = now
-                known.stopping = False
-                known.tokens_at_start = generation.token_count
+                current.confirmed_at = now
+                current.stopping = False
+                current.known_token_count = generation.token_count
                 if generation.oldest_version is not None:
-                    known.oldest_version = generation.oldest_version
+                    current.oldest_version = generation.oldest_version
         return effects
 
     def drop_closed(self, state: LedgerState) -> None:
-        """Forgets slots that have their sample."""
+        """Drops assignments and partials of slots that are no longer open."""
         for assignment in self._all():
             key = assignment.key
             round_state = state.rounds.get(key.round_name)
@@ -151,13 +151,13 @@
                     del partials[slot]
 
     def drop_lost(self, now: float, is_working: Callable[[str], bool]) -> list[Effect]:
-        """Forgets assignments that their owner has not reported for too long."""
+        """Drops assignments that their owner has not reported within the timeout."""
         effects: list[Effect] = []
         for assignment in self._all():
-            silence_s = constants.ASSIGNMENT_LOST_S
+            timeout_s = constants.ASSIGNMENT_LOST_S
             if not is_working(assignment.owner):
-                silence_s = constants.ASSIGNMENT_LOST_SUSPECT_S
-            if now >= assignment.confirmed_at + silence_s:
+                timeout_s = constants.ASSIGNMENT_LOST_SUSPECT_S
+            if now >= assignment.confirmed_at + timeout_s:
                 self._drop(assignment)
                 self.interruptions += 1
                 fields: dict[str, object] = {
@@ -168,8 +168,8 @@
                 effects.append(Emit(LogEvent.GENERATION_LOST, fields))
         return effects
 
-    def drop_over_age_partials(self, state: RoundState, bound: int) -> int:
-        """Forgets partials that could never be committed; returns the tokens given up."""
+    def drop_stale_partials(self, state: RoundState, bound: int) -> int:
+        """Discards partials beyond the staleness bound; returns their total token count."""
         dropped = 0
         for slot in self.partial_slots(state.name):
             segments = self.partial(state.name, slot).segments
@@ -186,7 +186,7 @@
         sampler_id=generation.sampler_id,
         owner=owner,
         started_at=now,
-        tokens_at_start=generation.token_count,
+        known_token_count=generation.token_count,
         first_token=generation.token_count,
         oldest_version=generation.oldest_version,
         confirmed_at=now,
--- a/stileloom/rollout/controller.py
+++ b/stileloom/rollout/controller.py
@@ -1,8 +1,8 @@
-"""The controller: lives on the ledger's leader, for one epoch.
+"""The rollout controller, which runs on the ledger leader for one epoch.
 
-Each tick it compares what the ledger, the configuration and the samplers' reports say with
-what ought to be, and sends orders. It keeps nothing that a successor could not learn again:
-samples and versions stand in the ledger, running generations are reported by their owners.
+Each tick reconciles the ledger, the configuration and the sampler reports, and sends orders.
+All state can be rebuilt by the next leader: samples and versions are in the ledger, and owners
+report running generations.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from stileloom.ledger.state import LedgerState, RoundState
 from stileloom.policy import PoolInput, RequestInput, RoundInput, RuleInputs
 from stileloom.rollout.assignments import AssignmentTable
-from stileloom.rollout.delivery import DeliveryDesk
+from stileloom.rollout.delivery import PendingReads
 from stileloom.rollout.lead import LeadEstimate
 from stileloom.rollout.roles import SamplerRoles
 from stileloom.rollout.scheduler import Scheduler
-from stileloom.rollout.view import ControllerView, PlanBasis, Planned, Propose
+from stileloom.rollout.view import ControllerView, PlanInputs, PlanRecord, Propose
 from stileloom.rollout.work import (
     Assignment,
     PendingSlot,
@@ -43,26 +43,26 @@
 from stileloom.samplers.table import SamplerView
 from stileloom.weights import SwapPlanner, SwapTarget
 
-AVOID_AFTER_FAILURE_S = 1.0
-PLAN_AT_LEAST_EVERY_S = 1.0
-"""A round is planned again when something changed, and this often in any case."""
-REGISTER_RETRY_S = 1.0
-SWEEP_EVERY_S = 0.5
-"""How often assignments are compared with the ledger and with what owners report."""
-SLOTS_PER_TICK = 1000
-"""Pending slots and samplers that one tick looks at before the other rounds have to wait."""
+FAILED_SAMPLER_BACKOFF_S = 1.0
+MAX_PLAN_INTERVAL_S = 1.0
+"""Maximum time between two plans of a round whose inputs have not changed."""
+REGISTER_RETRY_INTERVAL_S = 1.0
+SWEEP_INTERVAL_S = 0.5
+"""Interval at which closed and lost assignments are dropped."""
+PLAN_BUDGET_PER_TICK = 1000
+"""Limit on the pending slots and samplers examined per tick; other rounds are deferred."""
 
 
 class Controller:
-    """Rounds, weight rollout, placement and role shifts, for one epoch."""
+    """Plans generations, weight swaps and role shifts of all rounds for one epoch."""
 
     def __init__(
         self, epoch: int, scheduler: Scheduler, now: float, sequence: Iterator[int]
     ) -> None:
-        """`sequence` never yields a number twice within an epoch."""
+        """`sequence` must not repeat a number within an epoch."""
         self.epoch = epoch
         self.assignments = AssignmentTable()
-        self.desk = DeliveryDesk()
+        self.desk = PendingReads()
         self.discarded_partial_tokens = 0
         self._scheduler = scheduler
         self._swaps = SwapPlanner(epoch, sequence)
@@ -70,22 +70,22 @@
         self._settled_at = now + constants.CONTROLLER_SETTLE_S
         self._reported: set[str] = set()
         self._sequence = sequence
-        self._avoid_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._next_sweep_at = float("-inf")
         self._next_round = 0
-        self._planned: dict[str, Planned] = {}
+        self._planned: dict[str, PlanRecord] = {}
         self._versions: dict[str, int] = {}
         self._version_seen_at: dict[str, float] = {}
         self._leads: dict[str, LeadEstimate] = {}
         self._registered_at: dict[str, float] = {}
 
-    # Driving.
+    # Tick and messages.
 
     def tick(self, now: float, view: ControllerView) -> list[Effect]:
-        """One round of comparing and ordering."""
+        """Runs one reconciliation pass."""
         effects: list[Effect] = []
         if now >= self._next_sweep_at:
-            self._next_sweep_at = now + SWEEP_EVERY_S
+            self._next_sweep_at = now + SWEEP_INTERVAL_S
             self.assignments.drop_closed(view.state)
             effects += self.assignments.drop_lost(now, view.is_working)
             effects += self._register_rounds(now, view)
@@ -97,32 +97,32 @@
         return effects + self.desk.tick(now, view.state, self._reserved(view.state))
 
     def _plan_rounds(self, now: float, view: ControllerView, lent: dict[str, str]) -> list[Effect]:
-        """Plans rounds in turn; those that find the tick's time used up come first next time.
+        """Plans rounds in turn until the budget is used up; the next tick resumes there.
 
-        A long tick would hold up the heartbeats that the leader's lease lives on.
+        A long tick would delay the heartbeats that renew the leader's lease.
         """
         effects: list[Effect] = []
-        budget = SLOTS_PER_TICK
+        budget = PLAN_BUDGET_PER_TICK
         names = sorted(view.configuration.rounds)
         first = self._next_round % max(1, len(names))
         for position, name in enumerate(names[first:] + names[:first]):
             round_state = view.state.rounds.get(name)
             if round_state is None:
                 continue
-            effects += self._note_version(now, name, round_state.version)
+            effects += self._record_version(now, name, round_state.version)
             if budget <= 0:
                 self._next_round = first + position
                 break
             if self._needs_plan(now, view, name, round_state):
-                work = self._work(now, view, name, round_state, lent)
+                work = self._round_work(now, view, name, round_state, lent)
                 budget -= len(work.pending) + len(work.samplers)
                 if self._is_settled(now, view) and view.admits_rollouts:
                     effects += self._plan(now, view, name, work)
-                self._planned[name].waits_for_room = self._scheduler.may_start_more(work)
+                self._planned[name].waiting_for_capacity = self._scheduler.has_unplaced_slots(work)
         return effects
 
     def _reserved(self, state: LedgerState) -> dict[str, int]:
-        """By round that a trainer waits for, the places kept for generations under way."""
+        """Returns the places reserved for running generations, by round with pending reads."""
         reserved: dict[str, int] = {}
         for name in self.desk.waiting_rounds():
             round_state = state.rounds.get(name)
@@ -135,8 +135,8 @@
     def _needs_plan(
         self, now: float, view: ControllerView, name: str, round_state: RoundState
     ) -> bool:
-        """Whether anything that a plan looks at has changed since the last one."""
-        seen = PlanBasis(
+        """Whether the inputs of the last plan changed or the plan is due for renewal."""
+        current_inputs = PlanInputs(
             version=round_state.version,
             next_slot=round_state.next_slot,
             next_offset=round_state.next_offset,
@@ -145,43 +145,43 @@
             samplers=view.table.changes,
         )
         planned = self._planned.get(name)
-        if planned is not None and planned.basis == seen and now < planned.again_at:
-            room_made = self.assignments.ends != planned.ends
-            if not (planned.waits_for_room and room_made):
+        if planned is not None and planned.basis == current_inputs and now < planned.replan_at:
+            capacity_freed = self.assignments.completions != planned.completions
+            if not (planned.waiting_for_capacity and capacity_freed):
                 return False
-        again_at = now + PLAN_AT_LEAST_EVERY_S
-        self._planned[name] = Planned(seen, again_at, self.assignments.ends)
+        replan_at = now + MAX_PLAN_INTERVAL_S
+        self._planned[name] = PlanRecord(current_inputs, replan_at, self.assignments.completions)
         return True
 
     def handle(
         self, now: float, sender: str, message: object, view: ControllerView
     ) -> list[Effect]:
-        """Takes a message of an owner."""
+        """Handles a message from an owner."""
         if isinstance(message, RunningReport):
             self._reported.add(sender)
-            return self.assignments.reported(now, sender, message.running, view.state)
+            return self.assignments.apply_report(now, sender, message.running, view.state)
         if isinstance(message, GenerationFinished):
-            assignment = self.assignments.finished(message)
+            assignment = self.assignments.record_finished(message)
             if assignment is not None:
-                self._observe(now, assignment, message)
+                self._record_generation(now, assignment, message)
             return []
         if isinstance(message, GenerationInterrupted):
-            self.assignments.interrupted(message)
+            self.assignments.record_interrupted(message)
             if message.failed:
-                self._avoid_until[message.sampler_id] = now + AVOID_AFTER_FAILURE_S
+                self._backoff_until[message.sampler_id] = now + FAILED_SAMPLER_BACKOFF_S
             return []
         return []
 
     def _is_settled(self, now: float, view: ControllerView) -> bool:
-        """Whether every owner has said what it runs, or has had the time to."""
+        """Whether every owner has reported its running generations, or the settle time is over."""
         if now >= self._settled_at:
             return True
         owners = {view.owner_of(sampler.sampler_id) for sampler in view.table.views()}
         return owners <= self._reported
 
     def under_way(self, round_name: str) -> int:
-        """Generations of a round under way."""
-        return len(self.assignments.of_round(round_name))
+        """Returns the number of running generations of a round."""
+        return len(self.assignments.for_round(round_name))
 
     # Rounds.
 
@@ -197,7 +197,7 @@
                 and known.reorder_window_steps == spec.reorder_window_steps
             ):
                 continue
-            if now < self._registered_at.get(name, float("-inf")) + REGISTER_RETRY_S:
+            if now < self._registered_at.get(name, float("-inf")) + REGISTER_RETRY_INTERVAL_S:
                 continue
             self._registered_at[name] = now
             command = RegisterRound(
@@ -206,14 +206,16 @@
             effects.append(Propose(command))
         return effects
 
-    def _observe(self, now: float, assignment: Assignment, message: GenerationFinished) -> None:
+    def _record_generation(
+        self, now: float, assignment: Assignment, message: GenerationFinished
+    ) -> None:
         self._scheduler.observe(assignment.prompt.group, message.token_count)
         lead = self._leads.get(assignment.key.round_name)
-        made = message.token_count - assignment.first_token
+        generated = message.token_count - assignment.first_token
         if lead is not None:
-            lead.observe_generation(now - assignment.started_at, made)
+            lead.observe_generation(now - assignment.started_at, generated)
 
-    def _note_version(self, now: float, name: str, version: int) -> list[Effect]:
+    def _record_version(self, now: float, name: str, version: int) -> list[Effect]:
         if self._versions.get(name) == version:
             return []
         if name in self._versions:
@@ -244,14 +246,14 @@
             owner = view.owner_of(sampler_id)
             if owner is None:
                 continue
-            effects += self._clear_for_role(view, sampler_id, order)
+            effects += self._stop_for_role_change(view, sampler_id, order)
             effects.append(Send(owner, OrderSampler(sampler_id, order)))
         return effects
 
-    def _clear_for_role(
+    def _stop_for_role_change(
         self, view: ControllerView, sampler_id: str, order: EngineOrder
     ) -> list[Effect]:
-        """Generations on a sampler that leaves the role are stopped and go on elsewhere."""
+        """Stops the generations on a sampler that changes role; they resume on other samplers."""
         sampler = view.table.get(sampler_id)
         if sampler is None or sampler.load is None or sampler.load.role is order.role:
             return []
@@ -262,9 +264,9 @@
             effects += self._stop(assignment)
         return effects
 
-    # Planning a round.
+    # Planning.
 
-    def _work(
+    def _round_work(
         self,
         now: float,
         view: ControllerView,
@@ -275,8 +277,8 @@
         bound = round_state.staleness_bound
         lead = self._leads.setdefault(name, LeadEstimate())
         lead.observe_step(now, round_state.next_offset // round_state.samples_per_step)
-        self.discarded_partial_tokens += self.assignments.drop_over_age_partials(round_state, bound)
-        assignments = self.assignments.of_round(name)
+        self.discarded_partial_tokens += self.assignments.drop_stale_partials(round_state, bound)
+        assignments = self.assignments.for_round(name)
         wanted_until = self.desk.wanted_until(name)
         pending = self._pending(view, round_state, wanted_until)
         return RoundWork(
@@ -294,7 +296,7 @@
     def _pending(
         self, view: ControllerView, round_state: RoundState, wanted_until: int
     ) -> list[PendingSlot]:
-        """Open slots that nobody generates for, up to the last step that may start by now."""
+        """Returns the unassigned open slots within the staleness bound or wanted by a reader."""
         name = round_state.name
         size = round_state.samples_per_step
         steps = round_state.next_offset // size + round_state.staleness_bound + 1
@@ -341,7 +343,7 @@
         lent: dict[str, str],
     ) -> list[SamplerCapacity]:
         spec = view.configuration.rounds[name]
-        placeable: dict[tuple[str, str], bool] = {}
+        placement_allowed: dict[tuple[str, str], bool] = {}
         capacities: list[SamplerCapacity] = []
         pools = dict.fromkeys([spec.pool, *spec.borrow_from])
         for sampler in [s for pool in pools for s in view.table.in_pool(pool)]:
@@ -349,12 +351,12 @@
             borrowed = lent.get(sampler.sampler_id) == name
             if (pool_name != spec.pool or sampler.sampler_id in lent) and not borrowed:
                 continue
-            if not self._may_take(now, sampler, spec):
+            if not self._is_available(now, sampler, spec):
                 continue
-            place = (pool_name, sampler.machine.zone)
-            if place not in placeable:
-                placeable[place] = self._may_place(view, round_state, place)
-            if not placeable[place]:
+            pool_and_zone = (pool_name, sampler.machine.zone)
+            if pool_and_zone not in placement_allowed:
+                placement_allowed[pool_and_zone] = self._may_place(view, round_state, pool_and_zone)
+            if not placement_allowed[pool_and_zone]:
                 continue
             assert sampler.load is not None
             limit = min(sampler.load.max_running, spec.max_concurrency_per_sampler)
@@ -363,12 +365,12 @@
             capacities.append(SamplerCapacity(sampler, assigned, limit, current))
         return capacities
 
-    def _may_take(self, now: float, sampler: SamplerView, spec: Round) -> bool:
+    def _is_available(self, now: float, sampler: SamplerView, spec: Round) -> bool:
         load = sampler.load
         if load is None or not sampler.usable(now):
-            # A sampler that swaps in flight takes new work again as soon as it serves.
+            # A sampler that swaps weights in flight is usable again once it serves.
             return False
-        if now < self._avoid_until.get(sampler.sampler_id, float("-inf")):
+        if now < self._backoff_until.get(sampler.sampler_id, float("-inf")):
             return False
         return (
             load.state is EngineState.SERVING
@@ -377,9 +379,9 @@
         )
 
     def _may_place(
-        self, view: ControllerView, round_state: RoundState, place: tuple[str, str]
+        self, view: ControllerView, round_state: RoundState, pool_and_zone: tuple[str, str]
     ) -> bool:
-        pool_name, zone = place
+        pool_name, zone = pool_and_zone
         pool = view.configuration.pools.get(pool_name)
         home_role = pool.home_role.value if pool is not None else ""
         inputs = RuleInputs(
@@ -396,10 +398,13 @@
             effects += self._start(now, view, name, spec, start)
         for shift in self._scheduler.plan_shifts(work, now):
             effects += self._shift(shift)
-        return effects + self._move_off_leaving(view, work)
+        return effects + self._stop_on_leaving_samplers(view, work)
+
+    def _stop_on_leaving_samplers(self, view: ControllerView, work: RoundWork) -> list[Effect]:
+        """Stops generations on leaving samplers if others have capacity to resume them.
 
-    def _move_off_leaving(self, view: ControllerView, work: RoundWork) -> list[Effect]:
-        """A planned stop interrupts nothing, but a long tail is better off elsewhere."""
+        They would finish there, but a long generation would delay the drain.
+        """
         effects: list[Effect] = []
         if not any(sampler.free > 0 for sampler in work.samplers):
             return effects
@@ -424,7 +429,7 @@
                 sampler_id=start.sampler_id,
                 owner=owner,
                 started_at=now,
-                tokens_at_start=len(pending.partial.tokens),
+                known_token_count=len(pending.partial.tokens),
                 first_token=len(pending.partial.tokens),
                 oldest_version=self._version_at_start(view, pending, start.sampler_id),
                 confirmed_at=now,
@@ -444,7 +449,7 @@
         return oldest if oldest is not None else version
 
     def _shift(self, shift: Shift) -> list[Effect]:
-        for assignment in self.assignments.of_round(shift.key.round_name):
+        for assignment in self.assignments.for_round(shift.key.round_name):
             if assignment.key == shift.key:
                 fields: dict[str, object] = {
                     "round": shift.key.round_name,
@@ -455,7 +460,7 @@
         return []
 
     def _stop(self, assignment: Assignment) -> list[Effect]:
-        # If the message is lost, the next running report clears the mark again.
+        # If the message is lost, the next report of the owner resets the flag.
         assignment.stopping = True
         return [Send(assignment.owner, StopGeneration(assignment.key))]
 
--- a/stileloom/rollout/delivery.py
+++ b/stileloom/rollout/delivery.py
@@ -1,7 +1,7 @@
-"""Reads of delivery logs that wait at the leader until their batch is whole.
+"""Reads of delivery logs, held at the leader until their batch is complete.
 
-Samples are handed over as late as possible: only once a whole batch is there. Until then
-they can still be reopened if they grow over-age.
+Samples are handed over only once the batch is complete: until then, samples that exceed the
+staleness bound can still be generated again.
 """
 
 from __future__ import annotations
@@ -14,93 +14,93 @@
 from stileloom.ledger.state import LedgerState, RoundState
 from stileloom.rollout.messages import DeliveryAnswer, DeliveryRequest
 
-REQUEST_FORGOTTEN_S = 3.0
-"""A read that was not asked again for this long has no reader any more."""
+READ_EXPIRY_S = 3.0
+"""A pending read expires unless its reader repeats it within this time."""
 
 
 class HandOverTicket(msgspec.Struct, frozen=True):
-    """Ties the result of a hand-over to the reads that wait for it."""
+    """Identifies the reads that wait for the result of a hand-over."""
 
     round_name: str
 
 
 class ProposeHandOver(msgspec.Struct, frozen=True):
-    """Propose this command; answer with `DeliveryDesk.handed_over`."""
+    """Effect: propose the command and pass its result to `PendingReads.handed_over`."""
 
     ticket: HandOverTicket
     command: HandOver
 
 
-class _WaitingRead(msgspec.Struct):
-    """A read that is not answered yet."""
+class _PendingRead(msgspec.Struct):
+    """An unanswered read."""
 
     reader: str
     request: DeliveryRequest
-    heard_at: float
+    received_at: float
 
 
-class DeliveryDesk:
-    """The waiting reads of all rounds."""
+class PendingReads:
+    """Unanswered reads of all rounds."""
 
     def __init__(self) -> None:
-        self._waiting: dict[tuple[str, str], _WaitingRead] = {}
+        self._reads: dict[tuple[str, str], _PendingRead] = {}
         self._proposed: set[str] = set()
 
     def request(
         self, now: float, reader: str, request: DeliveryRequest, state: LedgerState
     ) -> list[Effect]:
-        """Takes a read. A repeat of a read replaces it."""
+        """Registers a read, replacing an earlier read of the same reader and round."""
         round_state = state.rounds.get(request.round_name)
         if round_state is None:
-            return [_refuse(reader, request, ErrorKind.UNKNOWN_ROUND)]
+            return [_rejection(reader, request, ErrorKind.UNKNOWN_ROUND)]
         if request.offset < round_state.acknowledged:
-            return [_refuse(reader, request, ErrorKind.BAD_REQUEST)]
+            return [_rejection(reader, request, ErrorKind.BAD_REQUEST)]
         key = (reader, request.round_name)
-        self._waiting[key] = _WaitingRead(reader, request, now)
+        self._reads[key] = _PendingRead(reader, request, now)
         return []
 
     def waiting_rounds(self) -> list[str]:
-        """Rounds that somebody waits for."""
-        return sorted({read.request.round_name for read in self._waiting.values()})
+        """Returns the rounds that have pending reads."""
+        return sorted({read.request.round_name for read in self._reads.values()})
 
     def wanted_until(self, round_name: str) -> int:
-        """The offset up to which somebody waits for deliveries of a round."""
-        waiting = [
+        """Returns the end offset of the pending reads of a round, 0 if there are none."""
+        end_offsets = [
             read.request.offset + read.request.count
-            for read in self._waiting.values()
+            for read in self._reads.values()
             if read.request.round_name == round_name
         ]
-        return max(waiting, default=0)
+        return max(end_offsets, default=0)
 
     def tick(self, now: float, state: LedgerState, reserved: dict[str, int]) -> list[Effect]:
-        """Proposes the hand-overs that are due. `reserved` is by round."""
+        """Expires reads and proposes due hand-overs. `reserved` gives reserved places by round."""
         effects: list[Effect] = []
-        for key, waiting in list(self._waiting.items()):
-            if now >= waiting.heard_at + REQUEST_FORGOTTEN_S:
-                del self._waiting[key]
+        for key, read in list(self._reads.items()):
+            if now >= read.received_at + READ_EXPIRY_S:
+                del self._reads[key]
                 continue
-            name = waiting.request.round_name
+            name = read.request.round_name
             round_state = state.rounds.get(name)
             if round_state is None or name in self._proposed:
                 continue
-            until = waiting.request.offset + waiting.request.count
-            if _can_reach(round_state, until, reserved.get(name, 0)):
+            until = read.request.offset + read.request.count
+            if _can_hand_over(round_state, until, reserved.get(name, 0)):
                 self._proposed.add(name)
                 ticket = HandOverTicket(name)
                 effects.append(ProposeHandOver(ticket, HandOver(name, until)))
         return effects
 
     def handed_over(self, ticket: HandOverTicket, result: CommandResult | None) -> list[Effect]:
-        """A hand-over was committed (or lost, None): answers the reads that are whole now."""
+        """Answers the reads completed by a hand-over; `result` is None if it was lost."""
         self._proposed.discard(ticket.round_name)
         effects: list[Effect] = []
-        for key, waiting in list(self._waiting.items()):
-            request = waiting.request
+        for key, read in list(self._reads.items()):
+            request = read.request
             if request.round_name != ticket.round_name:
                 continue
             if isinstance(result, Refused):
-                del self._waiting[key]
-                effects.append(_refuse(waiting.reader, request, result.kind))
+                del self._reads[key]
+                effects.append(_rejection(read.reader, request, result.kind))
                 continue
             if not isinstance(result, DeliveryPage):
                 continue
@@ -110,17 +110,17 @@
                 if request.offset <= delivery.offset < request.offset + request.count
             ]
             if len(wanted) == request.count:
-                del self._waiting[key]
+                del self._reads[key]
                 page = DeliveryPage(wanted, result.current_version)
-                effects.append(Send(waiting.reader, DeliveryAnswer(request.ticket, page)))
+                effects.append(Send(read.reader, DeliveryAnswer(request.ticket, page)))
         return effects
 
 
-def _can_reach(state: RoundState, until: int, reserved: int) -> bool:
-    """Whether a hand-over up to `until` is whole, with room kept for `reserved` samples.
+def _can_hand_over(state: RoundState, until: int, reserved: int) -> bool:
+    """Whether the samples up to `until` can be handed over.
 
-    Reserved are generations under way that belong to this batch, since the next version
-    would make them too old; they wait for their place as long as the batch has one.
+    `reserved` counts running generations that the next version would make too old; the
+    hand-over waits for them.
     """
     missing = until - state.next_offset
     if missing <= 0:
@@ -130,11 +130,11 @@
         return False
     if len(state.ready) < missing:
         return False
-    young_enough = sum(1 for s in state.ready.values() if state.age_of(s) <= oldest_allowed)
-    if young_enough < missing:
+    fresh_enough = sum(1 for s in state.ready.values() if state.age_of(s) <= oldest_allowed)
+    if fresh_enough < missing:
         return False
     return min(reserved, missing) == 0
 
 
-def _refuse(reader: str, request: DeliveryRequest, kind: ErrorKind) -> Effect:
+def _rejection(reader: str, request: DeliveryRequest, kind: ErrorKind) -> Effect:
     return Send(reader, DeliveryAnswer(request.ticket, None, kind))
--- a/stileloom/rollout/length_estimate.py
+++ b/stileloom/rollout/length_estimate.py
@@ -1,29 +1,29 @@
-"""An estimate of how many tokens a generation will have, by prompt group."""
+"""Estimate of generation lengths by prompt group."""
 
 from __future__ import annotations
 
 SMOOTHING = 0.2
-UNSEEN_FRACTION = 0.5
-"""Of `max_tokens`, for a group of which no sample is finished yet."""
+DEFAULT_LENGTH_FRACTION = 0.5
+"""Expected length as a fraction of `max_tokens` for groups without finished samples."""
 
 
 class LengthEstimate:
-    """An exponentially smoothed mean of the finished lengths of each group."""
+    """Exponential moving average of the finished lengths of each group."""
 
     def __init__(self) -> None:
         self._mean: dict[str, float] = {}
 
     def observe(self, group: str, token_count: int) -> None:
-        """A generation of the group finished at this length."""
-        known = self._mean.get(group)
-        if known is None:
+        """Records the length of a finished generation."""
+        previous = self._mean.get(group)
+        if previous is None:
             self._mean[group] = float(token_count)
         else:
-            self._mean[group] = known + SMOOTHING * (token_count - known)
+            self._mean[group] = previous + SMOOTHING * (token_count - previous)
 
-    def expected(self, group: str, max_tokens: int, so_far: int) -> float:
-        """Expected final length of a generation that has `so_far` tokens already."""
-        mean = self._mean.get(group, max_tokens * UNSEEN_FRACTION)
-        # With a heavy tail, what has outgrown the mean can be expected to grow on as much.
-        expected = mean if so_far < mean else so_far * 2.0
+    def expected(self, group: str, max_tokens: int, token_count: int) -> float:
+        """Returns the expected final length of a generation that has `token_count` tokens."""
+        mean = self._mean.get(group, max_tokens * DEFAULT_LENGTH_FRACTION)
+        # Length distributions are heavy-tailed: expect twice the current length beyond the mean.
+        expected = mean if token_count < mean else token_count * 2.0
         return min(float(max_tokens), expected)
--- a/stileloom/rollout/messages.py
+++ b/stileloom/rollout/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a gateway that speaks to a trainer and the controller."""
+"""Messages between gateways and the controller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DeliveryRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the deliveries `offset .. offset + count`; answered once they are whole."""
+    """Requests `count` deliveries from `offset`; answered once all of them are available."""
 
     ticket: int
     round_name: str
@@ -18,7 +18,7 @@
 
 
 class DeliveryAnswer(msgspec.Struct, frozen=True, tag=True):
-    """The page, or why there is none. `not_leader` asks to try another node."""
+    """A page of deliveries or an error. With `not_leader`, the caller tries another node."""
 
     ticket: int
     page: DeliveryPage | None
@@ -27,13 +27,13 @@
 
 
 class DrainSampler(msgspec.Struct, frozen=True, tag=True):
-    """An operator's drain of a sampler, passed on to every node of the zone and the leader."""
+    """An operator's drain request, forwarded to all nodes of the zone and to the leader."""
 
     sampler_id: str
 
 
 class StatusRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks the leader for the part of the status that only it knows."""
+    """Requests the status known only to the leader."""
 
     ticket: int
 
@@ -53,7 +53,7 @@
 
 
 class SamplerStatus(msgspec.Struct, frozen=True):
-    """One sampler as the leader sees it."""
+    """State of one sampler as known to the leader."""
 
     sampler_id: str
     pool: str
--- a/stileloom/rollout/roles.py
+++ b/stileloom/rollout/roles.py
@@ -1,4 +1,4 @@
-"""Which samplers are lent to which round, and what each sampler is meant to hold."""
+"""Assigns idle lookup samplers to rounds, and the target role and weights of each sampler."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class SamplerRoles:
-    """Follows demand; holds nothing that a successor could not find out again."""
+    """Lends lookup samplers to rounds by demand; all state can be rebuilt by the next leader."""
 
     def __init__(self) -> None:
         self._shifters: dict[str, RoleShifter] = {}
 
     def lent_samplers(self, now: float, view: ControllerView) -> dict[str, str]:
-        """By lent sampler, the round that it works for."""
+        """Returns the round of each lent sampler."""
         lent: dict[str, str] = {}
         for pool_name, pool in view.configuration.pools.items():
             if not pool.lend_to_rounds or pool.home_role is not SamplerRole.LOOKUP:
--- a/stileloom/rollout/scheduler.py
+++ b/stileloom/rollout/scheduler.py
@@ -1,7 +1,7 @@
-"""Schedulers: which open slot starts on which sampler, and what is shifted.
+"""Schedulers: choose the sampler for each open slot, and which generations to move.
 
-`BaselineScheduler` is the yardstick: first come first served, round robin, no shifting, and
-weights swapped only once a sampler has drained. `DefaultScheduler` is what users get.
+`BaselineScheduler` is the reference for benchmarks: first come first served, round robin, no
+moves, and weight swaps only on drained samplers. `DefaultScheduler` is used in production.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import heapq
 
 from stileloom.rollout.length_estimate import LengthEstimate
-from stileloom.rollout.staleness import may_start_count
+from stileloom.rollout.staleness import start_budget
 from stileloom.rollout.work import (
     Assignment,
     PendingSlot,
@@ -23,67 +23,67 @@
 from stileloom.weights.swap import SwapStyle
 
 SHIFT_MIN_IMBALANCE = 4
-"""Generations by which two samplers must differ before one is shifted between them."""
+"""Minimum difference in generations between two samplers before one is moved."""
 SHIFT_MIN_REMAINING_TOKENS = 64
 SHIFTS_PER_PLAN = 2
-SWAP_EXPECTED_S = 10.0
-"""After this, samplers that still hold an older version are used all the same."""
-VERSION_UNKNOWN = 1 << 60
-"""Sorts slots without any tokens behind those that have some."""
+PREFER_CURRENT_VERSION_S = 10.0
+"""Time after a new version in which fresh slots start only on samplers that hold it."""
+NO_TOKENS_SORT_KEY = 1 << 60
+"""Sorts slots without tokens after those that have some."""
 
 
 class SchedulerKind(enum.Enum):
-    """Schedulers by the name that settings and the command line use."""
+    """Scheduler names in settings and on the command line."""
 
     BASELINE = "baseline"
     DEFAULT = "default"
 
 
 class Scheduler(abc.ABC):
-    """Plans one round at a time; keeps no record of what runs."""
+    """Plans one round at a time; does not track running generations."""
 
     swap_style: SwapStyle
     shifts_roles: bool
 
     @abc.abstractmethod
     def plan_starts(self, work: RoundWork) -> list[Start]:
-        """What to start now."""
+        """Returns the slots to start now."""
 
     def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
-        """What to stop now, so that it goes on elsewhere."""
+        """Returns the generations to stop now, to be resumed on another sampler."""
         return []
 
     def observe(self, group: str, token_count: int) -> None:
-        """A generation finished; a scheduler that learns nothing ignores it."""
+        """Records a finished generation; ignored by default."""
         del group, token_count
 
     def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Places of the step being gathered that are kept for generations under way.
+        """Returns the places of the current step reserved for running generations.
 
-        `oldest_versions` has the oldest version in each of them; `oldest_allowed` is the
-        oldest that may be handed over now.
+        `oldest_versions` has the oldest version of each running generation; `oldest_allowed`
+        is the oldest version that may be handed over now.
         """
         return 0
 
-    def may_start_more(self, work: RoundWork) -> bool:
-        """Whether something waits only for room, so that each end calls for a new plan."""
+    def has_unplaced_slots(self, work: RoundWork) -> bool:
+        """Whether slots wait only for capacity, so that each completion needs a new plan."""
         return bool(work.pending)
 
 
 class BaselineScheduler(Scheduler):
-    """Round robin over samplers, slots in order of arrival."""
+    """Assigns slots in order of arrival, round robin over the samplers."""
 
     swap_style = SwapStyle.DRAIN
     shifts_roles = False
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._next_index = 0
 
     def plan_starts(self, work: RoundWork) -> list[Start]:
-        """Starts as many as the staleness budget allows, each on the next sampler in turn."""
-        under_way = len(work.assignments)
-        budget = may_start_count(work.state, work.staleness_bound, under_way, work.wanted_until)
-        # A sampler with old weights must drain, so that it can swap.
+        """Starts as many slots as the staleness budget allows."""
+        in_flight = len(work.assignments)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        # Samplers with old weights get no new work, so that they drain and swap.
         samplers = [sampler for sampler in work.samplers if sampler.current]
         samplers.sort(key=lambda sampler: sampler.view.sampler_id)
         starts: list[Start] = []
@@ -98,115 +98,115 @@
 
     def _next(self, samplers: list[SamplerCapacity]) -> SamplerCapacity | None:
         for _ in samplers:
-            self._turn += 1
-            sampler = samplers[self._turn % len(samplers)]
+            self._next_index += 1
+            sampler = samplers[self._next_index % len(samplers)]
             if sampler.free > 0:
                 return sampler
         return None
 
 
 class Mechanism(enum.Enum):
-    """Parts of the default scheduler that a bench can leave out, to see what each is worth."""
+    """Features of the default scheduler that benchmarks can disable."""
 
     LONGEST_FIRST = "longest_first"
-    """Fresh slots in the order of their expected length."""
+    """Start fresh slots in descending order of expected length."""
     LATE_START = "late_start"
-    """A slot starts no earlier than its expected duration asks for."""
+    """Delay the start of a slot by its expected duration."""
     CURRENT_ONLY = "current_only"
-    """Fresh slots start only on samplers that hold the current version already."""
+    """Start fresh slots only on samplers that hold the current version."""
     PROTECT_EXPIRING = "protect_expiring"
-    """A step waits for what the next version would make too old."""
+    """Hold a step for running generations that the next version would make too old."""
     SHIFT_TAIL = "shift_tail"
-    """Long generations are moved from full samplers to empty ones."""
+    """Move long generations from loaded samplers to idle ones."""
     IN_FLIGHT_SWAP = "in_flight_swap"
-    """Weights are swapped under running generations."""
+    """Swap weights without waiting for running generations."""
     LEND_SAMPLERS = "lend_samplers"
-    """Idle lookup samplers work for rounds."""
+    """Lend idle lookup samplers to rounds."""
 
 
-class _SamplerChoice:
-    """The least crowded sampler with room, again and again, while they fill up."""
+class _SamplerQueue:
+    """A priority queue of samplers, least utilized first."""
 
     def __init__(self, samplers: list[SamplerCapacity]) -> None:
         self._by_name = {sampler.view.sampler_id: sampler for sampler in samplers}
-        self._heap = [(_crowding(sampler), sampler.view.sampler_id) for sampler in samplers]
+        self._heap = [(_load_key(sampler), sampler.view.sampler_id) for sampler in samplers]
         heapq.heapify(self._heap)
 
     def take(self) -> SamplerCapacity | None:
-        """The sampler to use; the caller then adds to its load."""
+        """Returns the least utilized sampler with capacity; the caller then increases its load."""
         while self._heap:
-            known, name = self._heap[0]
+            queued_key, name = self._heap[0]
             sampler = self._by_name[name]
-            crowding = _crowding(sampler)
+            load_key = _load_key(sampler)
             if sampler.free <= 0:
                 heapq.heappop(self._heap)
-            elif crowding != known:
-                # Its load has grown since it was put here.
-                heapq.heapreplace(self._heap, (crowding, name))
+            elif load_key != queued_key:
+                # The load has changed since the entry was queued.
+                heapq.heapreplace(self._heap, (load_key, name))
             else:
                 return sampler
         return None
 
 
-def _crowding(sampler: SamplerCapacity) -> tuple[float, bool]:
-    """How full a sampler is; at a tie one that holds the current version goes first."""
+def _load_key(sampler: SamplerCapacity) -> tuple[float, bool]:
+    """Sort key: utilization, then samplers that hold the current version first."""
     return (sampler.assigned / max(1, sampler.limit), not sampler.current)
 
 
 class DefaultScheduler(Scheduler):
-    """Blocking and oldest first, each as late as it can, onto the emptiest sampler."""
+    """Starts blocking and oldest slots first, as late as possible, on the least loaded sampler."""
 
-    def __init__(self, without: frozenset[Mechanism] = frozenset()) -> None:
-        self._lengths = LengthEstimate()
-        self._without = without
-        self._left_over = 0
-        in_flight = self._has(Mechanism.IN_FLIGHT_SWAP)
-        self.swap_style = SwapStyle.IN_FLIGHT if in_flight else SwapStyle.DRAIN
-        self.shifts_roles = self._has(Mechanism.LEND_SAMPLERS)
+    def __init__(self, disabled: frozenset[Mechanism] = frozenset()) -> None:
+        self._length_estimate = LengthEstimate()
+        self._disabled = disabled
+        self._unplaced_count = 0
+        swaps_in_flight = self._enabled(Mechanism.IN_FLIGHT_SWAP)
+        self.swap_style = SwapStyle.IN_FLIGHT if swaps_in_flight else SwapStyle.DRAIN
+        self.shifts_roles = self._enabled(Mechanism.LEND_SAMPLERS)
 
-    def _has(self, mechanism: Mechanism) -> bool:
-        return mechanism not in self._without
+    def _enabled(self, mechanism: Mechanism) -> bool:
+        return mechanism not in self._disabled
 
     def observe(self, group: str, token_count: int) -> None:
-        """Feeds the length estimate."""
-        self._lengths.observe(group, token_count)
+        """Updates the length estimate."""
+        self._length_estimate.observe(group, token_count)
 
     def plan_starts(self, work: RoundWork) -> list[Start]:
-        """Resumed slots do not count against the budget again: they are under way already."""
+        """Resumed slots are already counted as in flight and need no new budget."""
         resumed = [slot for slot in work.pending if slot.partial.tokens]
-        under_way = len(work.assignments) + len(resumed)
-        budget = may_start_count(work.state, work.staleness_bound, under_way, work.wanted_until)
-        fresh = self._due(work) if budget or work.has_blocking else []
-        ordered = sorted(resumed, key=self._urgency)
-        ordered += within_budget(sorted(fresh, key=self._urgency), budget)
-        self._left_over = 0
+        in_flight = len(work.assignments) + len(resumed)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        fresh = self._due_slots(work) if budget or work.has_blocking else []
+        ordered = sorted(resumed, key=self._start_order)
+        ordered += within_budget(sorted(fresh, key=self._start_order), budget)
+        self._unplaced_count = 0
         if not ordered:
             return []
         starts: list[Start] = []
-        self._left_over = len(ordered)
-        choice = _SamplerChoice(work.samplers)
-        fresh_choice = choice
-        if self._has(Mechanism.CURRENT_ONLY) and work.version_age_s < SWAP_EXPECTED_S:
+        self._unplaced_count = len(ordered)
+        queue = _SamplerQueue(work.samplers)
+        fresh_queue = queue
+        if self._enabled(Mechanism.CURRENT_ONLY) and work.version_age_s < PREFER_CURRENT_VERSION_S:
             current = [sampler for sampler in work.samplers if sampler.current]
-            fresh_choice = _SamplerChoice(current)
+            fresh_queue = _SamplerQueue(current)
         for pending in ordered:
-            sampler = (choice if pending.partial.tokens else fresh_choice).take()
+            sampler = (queue if pending.partial.tokens else fresh_queue).take()
             if sampler is None:
                 continue
             sampler.assigned += 1
-            self._left_over -= 1
+            self._unplaced_count -= 1
             starts.append(Start(pending, sampler.view.sampler_id))
         return starts
 
-    def _due(self, work: RoundWork) -> list[PendingSlot]:
-        """Fresh slots that have to start by now to be done in time for their step."""
+    def _due_slots(self, work: RoundWork) -> list[PendingSlot]:
+        """Returns the fresh slots that must start now to finish in time for their step."""
         fresh = [slot for slot in work.pending if not slot.partial.tokens]
-        if not self._has(Mechanism.LATE_START):
+        if not self._enabled(Mechanism.LATE_START):
             return fresh
         size = work.state.samples_per_step
-        # The last step that is handed over, or, with a bound that leaves no other slack, the
-        # one that belongs to the current version, even while it is waited for: then the next
-        # one starts beside what the trainer waits for, and slows that down a little.
+        # Lead is counted from the last step handed over. With a staleness bound of at most 1
+        # and the current version's step still pending, it is counted from that pending step, so
+        # that the next step starts in parallel with it.
         step = work.state.next_offset // size
         if work.staleness_bound > 1 or work.state.handed_over_at_version >= size:
             step -= 1
@@ -215,35 +215,35 @@
         for slot in fresh:
             group = (slot.prompt.group, slot.prompt.max_tokens)
             if group not in leads:
-                expected = self._lengths.expected(*group, 0)
+                expected = self._length_estimate.expected(*group, 0)
                 leads[group] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
             if slot.blocking or slot.slot // size - step <= leads[group]:
                 due.append(slot)
         return due
 
-    def may_start_more(self, work: RoundWork) -> bool:
-        """Whether the last plan found no room for something that is due."""
-        return self._left_over > 0
+    def has_unplaced_slots(self, work: RoundWork) -> bool:
+        """Whether the last plan lacked capacity for a due slot."""
+        return self._unplaced_count > 0
 
-    def _urgency(self, pending: PendingSlot) -> tuple[bool, int, int, float, int]:
-        """Blocking, priority by policy, oldest tokens, longest expected, then arrival."""
+    def _start_order(self, pending: PendingSlot) -> tuple[bool, int, int, float, int]:
+        """Sort key: blocking, policy priority, oldest version, longest expected length, arrival."""
         oldest = pending.oldest_version
-        expected = self._lengths.expected(
+        expected = self._length_estimate.expected(
             pending.prompt.group, pending.prompt.max_tokens, len(pending.partial.tokens)
         )
         return (
             not pending.blocking,
             -pending.priority,
-            oldest if oldest is not None else VERSION_UNKNOWN,
-            -expected if self._has(Mechanism.LONGEST_FIRST) else 0.0,
+            oldest if oldest is not None else NO_TOKENS_SORT_KEY,
+            -expected if self._enabled(Mechanism.LONGEST_FIRST) else 0.0,
             pending.slot,
         )
 
     def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
-        """While nothing is left to start, evens out samplers: an emptier batch steps faster."""
-        if not self._has(Mechanism.SHIFT_TAIL) or len(work.samplers) < 2:
+        """Balances load while no slot is due, as engines decode faster with smaller batches."""
+        if not self._enabled(Mechanism.SHIFT_TAIL) or len(work.samplers) < 2:
             return []
-        if any(slot.partial.tokens for slot in work.pending) or self._due(work):
+        if any(slot.partial.tokens for slot in work.pending) or self._due_slots(work):
             return []
         shifts: list[Shift] = []
         by_load = sorted(work.samplers, key=lambda sampler: sampler.assigned)
@@ -260,9 +260,9 @@
         return shifts
 
     def _longest_on(
-        self, work: RoundWork, sampler_id: str, taken: list[Shift]
+        self, work: RoundWork, sampler_id: str, planned: list[Shift]
     ) -> Assignment | None:
-        keys = {shift.key for shift in taken}
+        keys = {shift.key for shift in planned}
         candidates = [
             assignment
             for assignment in work.assignments
@@ -272,37 +272,37 @@
         ]
         remaining = [
             (
-                self._lengths.expected(
+                self._length_estimate.expected(
                     assignment.prompt.group,
                     assignment.prompt.max_tokens,
-                    assignment.tokens_at_start,
+                    assignment.known_token_count,
                 )
-                - assignment.tokens_at_start,
+                - assignment.known_token_count,
                 assignment,
             )
             for assignment in candidates
         ]
-        long_enough = [row for row in remaining if row[0] >= SHIFT_MIN_REMAINING_TOKENS]
-        if not long_enough:
+        eligible = [row for row in remaining if row[0] >= SHIFT_MIN_REMAINING_TOKENS]
+        if not eligible:
             return None
-        return max(long_enough, key=lambda row: (row[0], -row[1].key.slot))[1]
+        return max(eligible, key=lambda row: (row[0], -row[1].key.slot))[1]
 
     def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Generations that the next version would make too old belong to this step."""
-        if not self._has(Mechanism.PROTECT_EXPIRING):
+        """Reserves a place for each generation that the next version would make too old."""
+        if not self._enabled(Mechanism.PROTECT_EXPIRING):
             return 0
         return sum(1 for version in oldest_versions if version <= oldest_allowed)
 
 
 def within_budget(ordered: list[PendingSlot], budget: int) -> list[PendingSlot]:
-    """The first `budget` slots, and every blocking one: without it nothing would go on."""
+    """Returns up to `budget` slots, plus every blocking slot, as the trainer waits for it."""
     blocking = [slot for slot in ordered if slot.blocking]
     others = [slot for slot in ordered if not slot.blocking]
     return blocking + others[: max(0, budget - len(blocking))]
 
 
-def make_scheduler(kind: SchedulerKind, without: frozenset[Mechanism] = frozenset()) -> Scheduler:
-    """The scheduler of a name; `without` only concerns the default one."""
+def make_scheduler(kind: SchedulerKind, disabled: frozenset[Mechanism] = frozenset()) -> Scheduler:
+    """Creates a scheduler; `disabled` applies only to the default one."""
     if kind is SchedulerKind.BASELINE:
         return BaselineScheduler()
-    return DefaultScheduler(without)
+    return DefaultScheduler(disabled)
--- a/stileloom/rollout/view.py
+++ b/stileloom/rollout/view.py
@@ -1,4 +1,4 @@
-"""What the controller looks at, and the small records it keeps."""
+"""Inputs of the controller and records of its plans."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Propose(msgspec.Struct, frozen=True):
-    """Propose a command to the ledger; nobody waits for the result."""
+    """Effect: propose a command to the ledger, ignoring the result."""
 
     command: Command
 
 
-class PlanBasis(msgspec.Struct, frozen=True):
-    """What the last plan of a round was based on."""
+class PlanInputs(msgspec.Struct, frozen=True):
+    """Inputs of the last plan of a round, compared to detect changes."""
 
     version: int
     next_slot: int
@@ -30,19 +30,19 @@
     samplers: int
 
 
-class Planned(msgspec.Struct):
-    """The last plan of a round, and when the next one is due in any case."""
+class PlanRecord(msgspec.Struct):
+    """The last plan of a round."""
 
-    basis: PlanBasis
-    again_at: float
-    ends: int
-    """Ends of generations before it."""
-    waits_for_room: bool = False
-    """Whether something was due and found no room."""
+    basis: PlanInputs
+    replan_at: float
+    completions: int
+    """`AssignmentTable.completions` at the time of the plan."""
+    waiting_for_capacity: bool = False
+    """Whether due slots could not start for lack of capacity."""
 
 
 class ControllerView(msgspec.Struct):
-    """What the controller may look at in one call."""
+    """Read-only context of one call to the controller."""
 
     state: LedgerState
     configuration: Configuration
@@ -53,4 +53,4 @@
     """Whether a node is neither suspected nor dead."""
     wall_time_s: float
     admits_rollouts: bool
-    """Whether this node's configuration lease holds."""
+    """Whether this node's configuration lease is valid."""
--- a/stileloom/rollout/work.py
+++ b/stileloom/rollout/work.py
@@ -1,4 +1,4 @@
-"""Records of the controller's work: open slots, assignments, what a scheduler sees."""
+"""Slots, assignments and scheduler inputs."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 
 class Assignment(msgspec.Struct):
-    """A slot that is being generated."""
+    """A running generation for a slot."""
 
     key: GenerationKey
     prompt: Prompt
     sampler_id: str
     owner: str
-    """Node that runs it; it may own the sampler no longer."""
+    """Node that runs the generation; it may no longer own the sampler."""
     started_at: float
-    tokens_at_start: int
-    """Tokens when it was last heard of."""
+    known_token_count: int
+    """Token count in the last report."""
     first_token: int
-    """Tokens that an earlier attempt had made."""
+    """Tokens that earlier attempts generated."""
     oldest_version: int | None
-    """Oldest version in its tokens, as far as known here."""
+    """Oldest weight version in its tokens, if known."""
     confirmed_at: float
-    """When its owner last reported it as running."""
+    """Time of the owner's last report."""
     stopping: bool = False
 
 
 class PendingSlot(msgspec.Struct):
-    """An open slot that nobody generates for."""
+    """An open slot without an assignment."""
 
     slot: int
     prompt: Prompt
     priority: int
     partial: PartialGeneration
     blocking: bool = False
-    """The step that a trainer waits for can not be handed over without it."""
+    """Whether the step that a trainer waits for needs this slot."""
 
     @property
     def oldest_version(self) -> int | None:
-        """Oldest version of the tokens that an earlier attempt left."""
+        """Oldest weight version in the partial generation."""
         return oldest_version(self.partial.segments)
 
 
 class SamplerCapacity(msgspec.Struct):
-    """A sampler that may take generations of a round, and how many it has."""
+    """A sampler available to a round, and its load."""
 
     view: SamplerView
     assigned: int
@@ -60,12 +60,12 @@
 
     @property
     def free(self) -> int:
-        """Generations that it may still take."""
+        """Remaining capacity in generations."""
         return max(0, self.limit - self.assigned)
 
 
 class RoundWork(msgspec.Struct):
-    """All that a scheduler may look at to plan one round."""
+    """Scheduler input for planning one round."""
 
     state: RoundState
     staleness_bound: int
@@ -73,23 +73,23 @@
     assignments: list[Assignment]
     samplers: list[SamplerCapacity]
     has_blocking: bool = False
-    """Whether a pending slot is blocking."""
+    """Whether any pending slot is blocking."""
     wanted_until: int = 0
-    """Offset up to which a trainer waits for deliveries now."""
+    """End offset of the trainer's pending reads."""
     version_age_s: float = 0.0
-    """How long ago the current version was first seen here."""
+    """Seconds since the controller first saw the current version."""
     lead: LeadEstimate = msgspec.field(default_factory=LeadEstimate)
-    """The round's measured pace."""
+    """Measured step and token times of the round."""
 
 
 class Start(msgspec.Struct, frozen=True):
-    """Plan: generate for a slot on a sampler."""
+    """Planned start of a slot on a sampler."""
 
     pending: PendingSlot
     sampler_id: str
 
 
 class Shift(msgspec.Struct, frozen=True):
-    """Plan: stop an assignment; its partial is started again where there is room."""
+    """Planned move: stops an assignment, to be resumed where there is capacity."""
 
     key: GenerationKey
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -166,7 +166,7 @@
         "a generation whose owner died is never started again",
         "exactly once",
         "stileloom/rollout/assignments.py",
-        "if now >= assignment.confirmed_at + silence_s:",
+        "if now >= assignment.confirmed_at + timeout_s:",
         "if False:",
         f"{PROMISES}::PromiseTest::test_generations_of_a_dead_owner_are_taken_over",
     ),
