--- a/stileloom/policy/__init__.py
+++ b/stileloom/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Policies: operators' rules for priority, freshness and placement, in CEL."""
+"""Policies: operator-defined CEL rules for priority, freshness and placement."""
 
 from stileloom.policy.book import PolicyBook, RuleOutcome, check_policy
 from stileloom.policy.compiler import CompiledRule, RuleKind, compile_rule
--- a/stileloom/policy/compiler.py
+++ b/stileloom/policy/compiler.py
@@ -1,8 +1,8 @@
-"""Compiles a rule and refuses what does not fit, with line, column and what was expected.
+"""Compiles and validates rules; errors give the line, the column and the expected input.
 
-Rules are CEL (Common Expression Language): they terminate and have no side effects. Size
-and nesting are bounded here, names are checked against the closed list of inputs, and the
-result's type is checked by a trial evaluation.
+Rules are written in CEL (Common Expression Language), so they terminate and have no side
+effects. Size and the number of comprehensions are limited, names are checked against the
+available inputs, and the result type is checked by evaluating the rule on default inputs.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 _COMPREHENSION = re.compile(
     r"\.\s*(" + "|".join(COMPREHENSIONS) + r")\s*\((?:\s*([A-Za-z_]\w*)\s*,)?"
 )
-"""A comprehension and the variable that it binds."""
+"""Matches a comprehension and the variable it binds."""
 _MEMBER = re.compile(r"\b(" + "|".join(INPUT_FIELDS) + r")\s*\.\s*([A-Za-z_]\w*)")
 _STRING = re.compile(r"'(?:[^'\\]|\\.)*'|\"(?:[^\"\\]|\\.)*\"")
 
 
 class RuleKind(enum.Enum):
-    """The three rules of a policy."""
+    """The rules that a policy can define."""
 
     PRIORITY = "priority"
     FRESHNESS = "freshness"
@@ -45,7 +45,7 @@
 
 
 class CompiledRule:
-    """A rule that is ready to be evaluated."""
+    """A compiled rule."""
 
     def __init__(self, kind: RuleKind, source: str, program: cel.Program) -> None:
         self.kind = kind
@@ -53,15 +53,15 @@
         self._program = program
 
     def evaluate(self, inputs: RuleInputs) -> int | bool:
-        """The rule's value. Raises `StileloomError` (POLICY_INVALID) where it has none."""
+        """Evaluates the rule. Raises `StileloomError` (POLICY_INVALID) on failure."""
         variables = msgspec.to_builtins(inputs)
         try:
             value = self._program.execute(variables)
         except (RuntimeError, TypeError, ValueError, ArithmeticError, LookupError) as error:
-            raise _refusal(self.kind, 1, 1, str(error)) from error
+            raise _invalid_policy(self.kind, 1, 1, str(error)) from error
         expected = RESULT_TYPES[self.kind]
         if type(value) is not expected:
-            raise _refusal(
+            raise _invalid_policy(
                 self.kind, 1, 1, f"expected {expected.__name__}, got {type(value).__name__}"
             )
         assert isinstance(value, int)
@@ -69,16 +69,18 @@
 
 
 def compile_rule(kind: RuleKind, source: str) -> CompiledRule:
-    """Compiles one rule.
+    """Compiles and validates one rule.
 
-    Raises `StileloomError` of kind POLICY_INVALID with the rule's name, line and column.
+    Raises `StileloomError` (POLICY_INVALID) with the rule's name, line and column.
     """
     if len(source) > MAX_RULE_CHARACTERS:
-        raise _refusal(kind, 1, MAX_RULE_CHARACTERS, f"more than {MAX_RULE_CHARACTERS} characters")
+        raise _invalid_policy(
+            kind, 1, MAX_RULE_CHARACTERS, f"more than {MAX_RULE_CHARACTERS} characters"
+        )
     try:
         program = cel.compile(source)
     except ValueError as error:
-        raise _syntax_refusal(kind, str(error)) from error
+        raise _syntax_error(kind, str(error)) from error
     _check_names(kind, source, program)
     rule = CompiledRule(kind, source, program)
     rule.evaluate(RuleInputs())
@@ -86,39 +88,45 @@
 
 
 def _check_names(kind: RuleKind, source: str, program: cel.Program) -> None:
-    bare = _STRING.sub(lambda match: " " * len(match.group()), source)
-    comprehensions = list(_COMPREHENSION.finditer(bare))
+    source_without_strings = _STRING.sub(lambda match: " " * len(match.group()), source)
+    comprehensions = list(_COMPREHENSION.finditer(source_without_strings))
     if len(comprehensions) > MAX_COMPREHENSIONS:
-        line, column = _place(source, comprehensions[MAX_COMPREHENSIONS].start())
-        raise _refusal(kind, line, column, f"more than {MAX_COMPREHENSIONS} comprehensions")
-    own_names = {match.group(2) for match in _COMPREHENSION.finditer(bare) if match.group(2)}
+        line, column = _line_and_column(source, comprehensions[MAX_COMPREHENSIONS].start())
+        raise _invalid_policy(kind, line, column, f"more than {MAX_COMPREHENSIONS} comprehensions")
+    bound_variables = {
+        match.group(2)
+        for match in _COMPREHENSION.finditer(source_without_strings)
+        if match.group(2)
+    }
     for name in sorted(program.variables()):
-        if name not in INPUT_FIELDS and name not in own_names:
-            line, column = _place(source, max(0, bare.find(name)))
+        if name not in INPUT_FIELDS and name not in bound_variables:
+            line, column = _line_and_column(source, max(0, source_without_strings.find(name)))
             known = ", ".join(INPUT_FIELDS)
-            raise _refusal(kind, line, column, f"unknown name {name!r}, expected one of {known}")
-    for match in _MEMBER.finditer(bare):
+            raise _invalid_policy(
+                kind, line, column, f"unknown name {name!r}, expected one of {known}"
+            )
+    for match in _MEMBER.finditer(source_without_strings):
         fields = INPUT_FIELDS[match.group(1)]
         if match.group(2) not in fields:
-            line, column = _place(source, match.start(2))
+            line, column = _line_and_column(source, match.start(2))
             known = ", ".join(fields)
-            raise _refusal(
+            raise _invalid_policy(
                 kind, line, column, f"unknown field {match.group(2)!r}, expected one of {known}"
             )
 
 
-def _place(source: str, position: int) -> tuple[int, int]:
+def _line_and_column(source: str, position: int) -> tuple[int, int]:
     before = source[:position]
     return before.count("\n") + 1, position - (before.rfind("\n") + 1) + 1
 
 
-def _syntax_refusal(kind: RuleKind, text: str) -> StileloomError:
+def _syntax_error(kind: RuleKind, text: str) -> StileloomError:
     match = _POSITION.search(text)
     if match is None:
-        return _refusal(kind, 1, 1, text)
-    return _refusal(kind, int(match.group(1)), int(match.group(2)), match.group(3))
+        return _invalid_policy(kind, 1, 1, text)
+    return _invalid_policy(kind, int(match.group(1)), int(match.group(2)), match.group(3))
 
 
-def _refusal(kind: RuleKind, line: int, column: int, detail: str) -> StileloomError:
-    place = f"{kind.value}: line {line}, column {column}"
-    return StileloomError(ErrorKind.POLICY_INVALID, f"{place}: {detail}")
+def _invalid_policy(kind: RuleKind, line: int, column: int, detail: str) -> StileloomError:
+    location = f"{kind.value}: line {line}, column {column}"
+    return StileloomError(ErrorKind.POLICY_INVALID, f"{location}: {detail}")
--- a/stileloom/policy/inputs.py
+++ b/stileloom/policy/inputs.py
@@ -1,4 +1,4 @@
-"""The closed list of what a policy's rules can see."""
+"""Inputs available to policy rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestInput(msgspec.Struct, frozen=True):
-    """`request`: the lookup, or the prompt of a round."""
+    """`request`: a lookup or a prompt of a round."""
 
     target: str = ""
     """Name of the service or round."""
@@ -23,7 +23,7 @@
 
 
 class RoundInput(msgspec.Struct, frozen=True):
-    """`round`: the round a prompt belongs to; zeros for a lookup."""
+    """`round`: the round of a prompt; all zero for a lookup."""
 
     version: int = 0
     staleness_bound: int = 0
@@ -31,7 +31,7 @@
 
 
 class PoolInput(msgspec.Struct, frozen=True):
-    """`pool`: the pool and zone that might take the work."""
+    """`pool`: the candidate pool and zone for the request."""
 
     name: str = ""
     zone: str = ""
@@ -39,16 +39,16 @@
 
 
 class TimeInput(msgspec.Struct, frozen=True):
-    """`time`: the wall clock in the policy's time zone."""
+    """`time`: the wall-clock time in the policy's time zone."""
 
     hour: int = 0
     minute: int = 0
     weekday: int = 1
-    """ISO: Monday is 1."""
+    """ISO weekday: Monday is 1."""
 
 
 class RuleInputs(msgspec.Struct, frozen=True):
-    """Everything that a rule can name."""
+    """All inputs of a rule."""
 
     request: RequestInput = RequestInput()
     round: RoundInput = RoundInput()
@@ -60,10 +60,10 @@
     field.name: [inner.name for inner in msgspec.structs.fields(field.type)]
     for field in msgspec.structs.fields(RuleInputs)
 }
-"""By input, the names that it has."""
+"""Field names of each input."""
 
 
 def time_input(wall_time_s: float, time_zone: str) -> TimeInput:
-    """The clock in a named zone. Raises `zoneinfo.ZoneInfoNotFoundError`."""
-    moment = datetime.datetime.fromtimestamp(wall_time_s, zoneinfo.ZoneInfo(time_zone))
-    return TimeInput(moment.hour, moment.minute, moment.isoweekday())
+    """Returns the time in a time zone. Raises `zoneinfo.ZoneInfoNotFoundError`."""
+    local_time = datetime.datetime.fromtimestamp(wall_time_s, zoneinfo.ZoneInfo(time_zone))
+    return TimeInput(local_time.hour, local_time.minute, local_time.isoweekday())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Policies: what is refused and where, how rules combine, the examples of the docs."""
+"""Tests of policies: validation errors, rule combination, and the documented examples."""
 
 from __future__ import annotations
 
@@ -26,31 +26,35 @@
 
 
 class FailingRuleTest(testtools.TestCase):
-    """A rule without a value is refused, and later lets nothing through."""
+    """A failing rule is rejected on submission and fails closed at run time."""
 
-    def test_refused_at_submission(self) -> None:
+    def test_rejected_on_submission(self) -> None:
         for source in ("1/0", "[1][5]"):
             error = self.assertRaises(StileloomError, compile_rule, RuleKind.PRIORITY, source)
             self.assertEqual(ErrorKind.POLICY_INVALID, error.kind)
 
-    def test_fails_closed_and_is_counted_at_run_time(self) -> None:
-        by_input = "10 / (request.max_tokens - 7)"
-        policy = Policy(priority=by_input, freshness=by_input, placement=f"{by_input} > -100000")
+    def test_run_time_failures_fail_closed_and_are_counted(self) -> None:
+        failing_source = "10 / (request.max_tokens - 7)"
+        policy = Policy(
+            priority=failing_source,
+            freshness=failing_source,
+            placement=f"{failing_source} > -100000",
+        )
         book = PolicyBook({"p": policy})
-        fine = RuleInputs()
-        self.assertTrue(book.may_place(fine, NOON_UTC_S))
-        failing = RuleInputs(
+        valid_inputs = RuleInputs()
+        self.assertTrue(book.may_place(valid_inputs, NOON_UTC_S))
+        failing_inputs = RuleInputs(
             request=RequestInput(max_tokens=7, priority=33), round=RoundInput(staleness_bound=4)
         )
-        self.assertEqual(33, book.priority(failing, NOON_UTC_S))
-        self.assertEqual(0, book.staleness_bound(failing, NOON_UTC_S))
-        self.assertFalse(book.may_place(failing, NOON_UTC_S))
-        self.assertFalse(book.may_place(failing, NOON_UTC_S))
+        self.assertEqual(33, book.priority(failing_inputs, NOON_UTC_S))
+        self.assertEqual(0, book.staleness_bound(failing_inputs, NOON_UTC_S))
+        self.assertFalse(book.may_place(failing_inputs, NOON_UTC_S))
+        self.assertFalse(book.may_place(failing_inputs, NOON_UTC_S))
         counts = {failure.rule: failure.count for failure in book.take_failures()}
         self.assertEqual({"priority": 1, "freshness": 1, "placement": 2}, counts)
         self.assertEqual([], book.take_failures())
 
-    def test_a_comprehension_may_use_its_own_variable(self) -> None:
+    def test_comprehension_can_use_its_bound_variable(self) -> None:
         rule = compile_rule(RuleKind.PLACEMENT, "[1, 2].all(x, x > 0)")
         self.assertTrue(rule.evaluate(RuleInputs()))
         error = self.assertRaises(
@@ -60,35 +64,39 @@
 
 
 class CompileTest(testtools.TestCase):
-    """A rule that does not fit is refused with its place and what was expected."""
+    """Invalid rules are rejected with their location and the expected input."""
 
-    def refusal(self, kind: RuleKind, source: str) -> str:
-        """The detail of the refusal."""
+    def compile_error_detail(self, kind: RuleKind, source: str) -> str:
+        """Returns the detail of the compilation error."""
         error = self.assertRaises(StileloomError, compile_rule, kind, source)
         self.assertEqual(ErrorKind.POLICY_INVALID, error.kind)
         return error.detail
 
     def test_syntax(self) -> None:
-        detail = self.refusal(RuleKind.PRIORITY, "request.priority +\n  ")
+        detail = self.compile_error_detail(RuleKind.PRIORITY, "request.priority +\n  ")
         self.assertIn("priority: line ", detail)
         self.assertIn("column", detail)
         self.assertIn("expecting", detail)
 
     def test_unknown_names(self) -> None:
-        detail = self.refusal(RuleKind.PLACEMENT, "true &&\n zone == 'a'")
+        detail = self.compile_error_detail(RuleKind.PLACEMENT, "true &&\n zone == 'a'")
         self.assertIn("line 2, column 2", detail)
         self.assertIn("expected one of request, round, pool, time", detail)
-        self.assertIn("unknown field 'size'", self.refusal(RuleKind.PLACEMENT, "pool.size > 1"))
+        self.assertIn(
+            "unknown field 'size'", self.compile_error_detail(RuleKind.PLACEMENT, "pool.size > 1")
+        )
 
     def test_types(self) -> None:
-        self.assertIn("expected bool", self.refusal(RuleKind.PLACEMENT, "1 + 1"))
-        self.assertIn("expected int", self.refusal(RuleKind.PRIORITY, "true"))
-        self.assertIn("overload", self.refusal(RuleKind.PRIORITY, "1 + 'a'"))
+        self.assertIn("expected bool", self.compile_error_detail(RuleKind.PLACEMENT, "1 + 1"))
+        self.assertIn("expected int", self.compile_error_detail(RuleKind.PRIORITY, "true"))
+        self.assertIn("overload", self.compile_error_detail(RuleKind.PRIORITY, "1 + 'a'"))
 
     def test_bounds(self) -> None:
-        self.assertIn("characters", self.refusal(RuleKind.PRIORITY, "1 + " * 400 + "1"))
+        self.assertIn(
+            "characters", self.compile_error_detail(RuleKind.PRIORITY, "1 + " * 400 + "1")
+        )
         nested = "[1].all(a, [1].all(b, [1].all(c, true)))"
-        self.assertIn("comprehensions", self.refusal(RuleKind.PLACEMENT, nested))
+        self.assertIn("comprehensions", self.compile_error_detail(RuleKind.PLACEMENT, nested))
 
     def test_time_zones(self) -> None:
         policy = Policy(priority="1", time_zone="Europe/Nowhere")
@@ -96,10 +104,10 @@
         self.assertIn("time_zone", error.detail)
 
 
-class BookTest(testtools.TestCase):
-    """How the rules of several policies combine."""
+class CombinationTest(testtools.TestCase):
+    """Rules of several policies combine."""
 
-    def test_priority_goes_by_rank_then_name(self) -> None:
+    def test_priority_is_ordered_by_rank_then_name(self) -> None:
         book = PolicyBook(
             {
                 "b": Policy(priority="10"),
@@ -111,14 +119,14 @@
         capped = RuleInputs(request=RequestInput(tenant="x"))
         self.assertEqual(100, book.priority(capped, 0.0))
 
-    def test_freshness_only_tightens(self) -> None:
+    def test_freshness_only_lowers_the_bound(self) -> None:
         book = PolicyBook({"loose": Policy(freshness="9"), "tight": Policy(freshness="1")})
         inputs = RuleInputs(round=RoundInput(staleness_bound=4))
         self.assertEqual(1, book.staleness_bound(inputs, 0.0))
         loose = PolicyBook({"loose": Policy(freshness="9")})
         self.assertEqual(4, loose.staleness_bound(inputs, 0.0))
 
-    def test_placement_needs_all(self) -> None:
+    def test_placement_requires_all_rules(self) -> None:
         book = PolicyBook(
             {
                 "zone": Policy(placement="pool.zone != 'c'"),
@@ -130,22 +138,22 @@
         self.assertFalse(book.may_place(RuleInputs(charts, pool=PoolInput("q", "a")), 0.0))
         self.assertTrue(book.may_place(RuleInputs(pool=PoolInput("q", "a")), 0.0))
 
-    def test_rules_see_the_clock_of_their_zone(self) -> None:
+    def test_rules_use_the_time_zone_of_their_policy(self) -> None:
         source = "time.hour"
         book = PolicyBook({"p": Policy(priority=source, time_zone="America/Costa_Rica")})
         self.assertEqual(6, book.priority(RuleInputs(), NOON_UTC_S))
 
 
 class ExampleTest(testtools.TestCase):
-    """Examples that operators copy must work."""
+    """The published examples are valid."""
 
-    def test_object_files(self) -> None:
+    def test_example_manifests_load(self) -> None:
         for name in ("corrib", "cartas"):
             self.assertTrue(load_manifests(ROOT / "examples" / name / "objects.toml"))
 
-    def test_policies_of_the_page(self) -> None:
-        page = (ROOT / "docs" / "POLICIES.md").read_text()
-        rules = re.findall(r"```cel (\w+)\n(.*?)```", page, re.DOTALL)
+    def test_documented_policies_compile(self) -> None:
+        documentation = (ROOT / "docs" / "POLICIES.md").read_text()
+        rules = re.findall(r"```cel (\w+)\n(.*?)```", documentation, re.DOTALL)
         self.assertGreater(len(rules), 3)
         for kind, source in rules:
             compile_rule(RuleKind(kind), source.strip())
