--- a/stileloom/policy/compiler.py
+++ b/stileloom/policy/compiler.py
@@ -45,8 +45,6 @@
 
 
 class CompiledRule:
-    """A compiled rule."""
-
     def __init__(self, kind: RuleKind, source: str, program: cel.Program) -> None:
         self.kind = kind
         self.source = source
--- a/stileloom/rollout/assignments.py
+++ b/stileloom/rollout/assignments.py
@@ -33,19 +33,15 @@
         self._partials: dict[str, dict[int, PartialGeneration]] = {}
 
     def for_round(self, round_name: str) -> list[Assignment]:
-        """Returns the assignments of a round."""
         return list(self._by_round.get(round_name, {}).values())
 
     def on_sampler(self, sampler_id: str) -> list[Assignment]:
-        """Returns the assignments on a sampler."""
         return [a for a in self._all() if a.sampler_id == sampler_id]
 
     def count_on(self, sampler_id: str) -> int:
-        """Returns the number of assignments on a sampler."""
         return self._count_by_sampler.get(sampler_id, 0)
 
     def is_assigned(self, round_name: str, slot: int) -> bool:
-        """Whether a slot has an assignment."""
         return slot in self._by_round.get(round_name, {})
 
     def _all(self) -> list[Assignment]:
@@ -64,7 +60,6 @@
         return self._partials.get(round_name, {}).get(slot, NO_PARTIAL)
 
     def partial_slots(self, round_name: str) -> list[int]:
-        """Returns the slots of a round that have a partial generation."""
         return list(self._partials.get(round_name, {}))
 
     def drop_partial(self, round_name: str, slot: int) -> int:
--- a/stileloom/rollout/delivery.py
+++ b/stileloom/rollout/delivery.py
@@ -32,8 +32,6 @@
 
 
 class _PendingRead(msgspec.Struct):
-    """An unanswered read."""
-
     reader: str
     request: DeliveryRequest
     received_at: float
@@ -60,7 +58,6 @@
         return []
 
     def waiting_rounds(self) -> list[str]:
-        """Returns the rounds that have pending reads."""
         return sorted({read.request.round_name for read in self._reads.values()})
 
     def wanted_until(self, round_name: str) -> int:
--- a/stileloom/rollout/length_estimate.py
+++ b/stileloom/rollout/length_estimate.py
@@ -14,7 +14,6 @@
         self._mean: dict[str, float] = {}
 
     def observe(self, group: str, token_count: int) -> None:
-        """Records the length of a finished generation."""
         previous = self._mean.get(group)
         if previous is None:
             self._mean[group] = float(token_count)
--- a/stileloom/rollout/messages.py
+++ b/stileloom/rollout/messages.py
@@ -39,8 +39,6 @@
 
 
 class RoundStatus(msgspec.Struct, frozen=True):
-    """Progress of a round."""
-
     name: str
     version: int
     staleness_bound: int
--- a/stileloom/rollout/scheduler.py
+++ b/stileloom/rollout/scheduler.py
@@ -168,7 +168,6 @@
         return mechanism not in self._disabled
 
     def observe(self, group: str, token_count: int) -> None:
-        """Updates the length estimate."""
         self._length_estimate.observe(group, token_count)
 
     def plan_starts(self, work: RoundWork) -> list[Start]:
--- a/stileloom/rollout/work.py
+++ b/stileloom/rollout/work.py
@@ -73,7 +73,6 @@
     assignments: list[Assignment]
     samplers: list[SamplerCapacity]
     has_blocking: bool = False
-    """Whether any pending slot is blocking."""
     wanted_until: int = 0
     """End offset of the trainer's pending reads."""
     version_age_s: float = 0.0
--- a/stileloom/routing/limits.py
+++ b/stileloom/routing/limits.py
@@ -10,8 +10,6 @@
 
 
 class TokenBucket:
-    """A token bucket rate limiter."""
-
     def __init__(self, rate_per_s: float, burst: float, now: float) -> None:
         self._rate_per_s = rate_per_s
         self._burst = burst
@@ -31,7 +29,6 @@
         self._level = min(self._burst, self._level + amount)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
-        """Seconds until `amount` can be taken."""
         self._fill(now)
         return max(0.0, (amount - self._level) / self._rate_per_s)
 
@@ -90,7 +87,6 @@
         self._health: dict[str, _Health] = {}
 
     def record_success(self, sampler_id: str) -> None:
-        """Records a successful request."""
         self._health.pop(sampler_id, None)
 
     def record_failure(self, now: float, sampler_id: str) -> bool:
@@ -106,6 +102,5 @@
         return True
 
     def is_ejected(self, now: float, sampler_id: str) -> bool:
-        """Whether a sampler is currently excluded from selection."""
         health = self._health.get(sampler_id)
         return health is not None and now < health.ejected_until
--- a/stileloom/routing/subset.py
+++ b/stileloom/routing/subset.py
@@ -20,11 +20,9 @@
             self._by_zone.setdefault(machine.zone, []).append(machine.sampler_id)
 
     def in_zone(self, zone: str) -> list[str]:
-        """Returns the samplers in a zone."""
         return self._by_zone.get(zone, [])
 
     def outside_zone(self, zone: str) -> list[str]:
-        """Returns the samplers in all other zones."""
         remaining = [names for other, names in self._by_zone.items() if other != zone]
         return [name for names in remaining for name in names]
 
