--- a/stileloom/proxy/__init__.py
+++ b/stileloom/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque HTTP lookups: routes, choice of samplers, attempts."""
+"""HTTP proxying of lookups and streams: routing, sampler selection and retries."""
--- a/stileloom/proxy/admission.py
+++ b/stileloom/proxy/admission.py
@@ -1,7 +1,7 @@
-"""Decides whether a lookup that no sampler took waits for a place, or is refused. No I/O.
+"""Decides whether a lookup that no sampler accepted is retried or refused. Performs no I/O.
 
-What can not be served is refused at once. Where samplers are full, a place may come free within
-milliseconds: the lookup waits for it as long as waiting costs its caller next to nothing.
+A lookup is refused at once if no sampler is reachable. If samplers are full, it is retried for a
+short time, since a slot may become free within milliseconds.
 """
 
 from __future__ import annotations
@@ -9,54 +9,50 @@
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.proxy.attempt_plan import AttemptPlan
 
-PATIENT_SHARE_OF_TARGET = 0.125
-"""A lookup waits this share of its target latency for a place. With more of it places go to
-lookups that are late by then: at 1.5 times the capacity for 2 s a share of 0.5 served 3,465 of
-7,000 in time, this one 4,876 (crowds of `CrowdBenchmark`, target 0.2 s, one figure changed)."""
-ROUND_S = 0.005
-"""Between two rounds over full samplers: one with 6 places and 38 ms of work frees one each 6 ms.
-Rounds 30 ms apart, up to 0.22 of the target, served 4 to 14 % fewer of the same crowds in time."""
-RETURN_SHARE_OF_TARGET = 0.5
-"""Retry-After as a share of the target latency: about the latest return that is still answered in
-time. Of short crowds a share of 0.25 served 6 to 13 % fewer in time and of lasting ones as many;
-a share of 1 served 24 to 35 % fewer of short ones."""
-ABSENT_RETRY_AFTER_S = 0.5
-"""A service none of whose samplers can be reached. A process that ended is back after 2 to 4 s; a
-caller that comes again spends its own time, so it is not sent away for as long."""
+MAX_WAIT_FRACTION = 0.125
+"""Share of the target latency for which a lookup waits for a free slot. Longer waits give slots to
+lookups that then miss their target."""
+RETRY_INTERVAL_S = 0.005
+"""Delay between two rounds over full samplers."""
+RETRY_AFTER_FRACTION = 0.5
+"""Retry-After of an overloaded service as a share of the target latency, so that a retry can still
+meet the target."""
+UNAVAILABLE_RETRY_AFTER_S = 0.5
+"""Retry-After if no sampler is reachable."""
 
 
 def wait_or_refuse(
     plan: AttemptPlan, listed: int, deadline_at: float, now: float
 ) -> float | StileloomError:
-    """How long to wait before samplers are asked again, in seconds, or why to refuse now.
+    """Returns the delay in seconds before samplers are tried again, or the error to refuse with.
 
-    `listed` samplers of the service are known, and none of them took the lookup.
+    `listed` is the number of known samplers of the service; none of them accepted the lookup.
     """
     if not plan.full:
-        detail = f"none of {listed} samplers can be reached"
-        return _not_taken(plan, ErrorKind.NO_SAMPLER, detail, ABSENT_RETRY_AFTER_S)
-    patient_until = plan.started_at + plan.target_latency_s * PATIENT_SHARE_OF_TARGET
-    if now + ROUND_S <= min(patient_until, deadline_at):
-        return ROUND_S
+        detail = f"none of {listed} samplers is reachable"
+        return _refusal(plan, ErrorKind.NO_SAMPLER, detail, UNAVAILABLE_RETRY_AFTER_S)
+    wait_until = plan.started_at + plan.target_latency_s * MAX_WAIT_FRACTION
+    if now + RETRY_INTERVAL_S <= min(wait_until, deadline_at):
+        return RETRY_INTERVAL_S
     detail = (
-        f"of {listed} samplers {len(plan.refused_by)} are full and "
-        f"{len(plan.unreachable)} can not be reached"
+        f"{len(plan.refused_by)} of {listed} samplers are full, "
+        f"{len(plan.unreachable)} are unreachable"
     )
-    retry_after_s = round(plan.target_latency_s * RETURN_SHARE_OF_TARGET, 3)
-    return _not_taken(plan, ErrorKind.OVERLOADED, detail, retry_after_s)
+    retry_after_s = round(plan.target_latency_s * RETRY_AFTER_FRACTION, 3)
+    return _refusal(plan, ErrorKind.OVERLOADED, detail, retry_after_s)
 
 
-def refuse_suspected(plan: AttemptPlan) -> StileloomError:
-    """Why a request that may end the sampler that runs it does not run now."""
-    detail = "samplers ended under it, and no two are left of which it might end one"
-    return _not_taken(plan, ErrorKind.NO_SAMPLER, detail, ABSENT_RETRY_AFTER_S)
+def suspect_refusal(plan: AttemptPlan) -> StileloomError:
+    """The error for a suspected request that can't run without risking the last healthy sampler."""
+    detail = "samplers crashed under this request; retrying could crash the last healthy one"
+    return _refusal(plan, ErrorKind.NO_SAMPLER, detail, UNAVAILABLE_RETRY_AFTER_S)
 
 
-def _not_taken(
+def _refusal(
     plan: AttemptPlan, kind: ErrorKind, detail: str, retry_after_s: float
 ) -> StileloomError:
-    """A refusal; once an attempt may have run, nothing can be promised any more."""
+    """The error for a lookup; its outcome is unknown once an attempt may have run."""
     if plan.may_have_run:
-        detail = f"{plan.may_have_run} attempts broke off, and {detail}"
+        detail = f"{plan.may_have_run} attempts failed; {detail}"
         return StileloomError(ErrorKind.SAMPLER_FAILED, detail)
     return StileloomError(kind, detail, retry_after_s=retry_after_s)
--- a/stileloom/proxy/exchange.py
+++ b/stileloom/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt of a lookup: the whole answer of a sampler, or why there is none."""
+"""One attempt of a lookup: a sampler's complete response, or the reason why there is none."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How one attempt ended."""
+    """Outcome of one attempt."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """The sampler promised that the request did not run."""
+    """The sampler confirmed that the request did not run."""
     MISDIRECTED = "misdirected"
-    """Another sampler has the address; not run."""
+    """Another sampler has the address (status 421); the request did not run."""
     NOT_CONNECTED = "not_connected"
-    """Nothing was sent."""
+    """No connection; nothing was sent."""
     BROKEN = "broken"
-    """It may have run."""
+    """The connection broke; the request may have run."""
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """The result of one attempt."""
+    """Result of one attempt."""
 
     sampler_id: str
     outcome: AttemptOutcome
@@ -37,9 +37,9 @@
     body: bytes = b""
     detail: str = ""
     entry: SamplerEntry | None = None
-    """The sampler as it was listed when the attempt began."""
+    """The sampler's entry when the attempt started."""
     began_at: float = 0.0
-    """Monotonic seconds: when the request was sent."""
+    """When the request was sent, in monotonic seconds."""
 
 
 async def run_exchange(
@@ -50,23 +50,23 @@
     names: HeaderNames,
     method: str = "GET",
 ) -> Attempt:
-    """Sends a request on a connection and judges the answer."""
-    answer = WholeAnswer()
-    connection.exchange(request, answer, method)
+    """Sends a request on a connection and classifies the response."""
+    response = WholeAnswer()
+    connection.exchange(request, response, method)
     try:
-        end = await answer.done
+        end = await response.done
     except asyncio.CancelledError:
         connection.close()
         raise
-    head = answer.head
+    head = response.head
     if end is not ExchangeEnd.COMPLETE or head is None:
         return Attempt(sampler_id, AttemptOutcome.BROKEN, detail=end.value)
     if head.headers.get(names.request_id, request_id) != request_id:
-        # A late answer to an earlier request: nothing is known of this one.
+        # A late response to an earlier request: the outcome of this one is unknown.
         connection.close()
-        return Attempt(sampler_id, AttemptOutcome.BROKEN, detail="answer to another request")
+        return Attempt(sampler_id, AttemptOutcome.BROKEN, detail="response to another request")
     if head.status == 421:
         return Attempt(sampler_id, AttemptOutcome.MISDIRECTED, head)
     if names.not_run in head.headers:
         return Attempt(sampler_id, AttemptOutcome.REFUSED, head)
-    return Attempt(sampler_id, AttemptOutcome.ANSWERED, head, answer.body)
+    return Attempt(sampler_id, AttemptOutcome.ANSWERED, head, response.body)
--- a/stileloom/proxy/forwarder.py
+++ b/stileloom/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Carries one lookup to samplers, within its attempts and its time."""
+"""Forwards lookups to samplers, with retries and hedging, until their deadline."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from stileloom.events import LogEvent
 from stileloom.http1.pool import ConnectionPool
 from stileloom.http1.request_encoder import encode_request
-from stileloom.proxy.admission import refuse_suspected, wait_or_refuse
+from stileloom.proxy.admission import suspect_refusal, wait_or_refuse
 from stileloom.proxy.attempt_plan import AttemptPlan
 from stileloom.proxy.exchange import Attempt, AttemptOutcome, run_exchange
 from stileloom.proxy.lookup import Lookup, LookupAnswer
@@ -22,7 +22,7 @@
 
 
 class Forwarder:
-    """Owns the connections to samplers of lookups."""
+    """Owns the connections for lookups."""
 
     def __init__(self, access: SamplerAccess, hedges: bool = True) -> None:
         self._zone = access.zone
@@ -36,14 +36,15 @@
         self._pool = ConnectionPool(access.metrics.connection_opened)
 
     def forget(self, sampler_id: str) -> None:
-        """A sampler is gone: its kept connections close."""
+        """Closes the keep-alive connections of a removed sampler."""
         self._pool.forget(sampler_id)
 
     async def forward(self, lookup: Lookup, route: Route, service: str) -> LookupAnswer:
-        """The answer of a sampler.
+        """Returns a sampler's response.
 
-        Raises `StileloomError`: QUARANTINED, OVERLOADED or NO_SAMPLER where it did not run,
-        SAMPLER_FAILED or DEADLINE_PASSED where it may have. Cancelling closes what is under way.
+        Raises `StileloomError`: QUARANTINED, OVERLOADED or NO_SAMPLER if the lookup did not run,
+        SAMPLER_FAILED or DEADLINE_PASSED if it may have. Cancelling it cancels all running
+        attempts.
         """
         permit = await self._guard.admit(lookup.request_id, lookup.identity)
         plan = AttemptPlan(
@@ -55,11 +56,11 @@
             started_at=lookup.arrived_at,
             hedges=self._hedges and not permit.suspected,
         )
-        running: set[asyncio.Task[Attempt]] = set()
+        attempts: set[asyncio.Task[Attempt]] = set()
         try:
-            return await self._run(lookup, plan, permit, running)
+            return await self._run(lookup, plan, permit, attempts)
         finally:
-            for task in running:
+            for task in attempts:
                 task.cancel()
 
     async def _run(
@@ -67,50 +68,50 @@
         lookup: Lookup,
         plan: AttemptPlan,
         permit: Permit,
-        running: set[asyncio.Task[Attempt]],
+        attempts: set[asyncio.Task[Attempt]],
     ) -> LookupAnswer:
         last_failure: Attempt | None = None
         failed_attempts = 0
         while True:
             now = steady_time()
             if now >= lookup.deadline_at:
-                raise self._out_of_time(plan)
-            wait_until = lookup.deadline_at
+                raise self._deadline_error(plan)
+            wake_at = lookup.deadline_at
             if plan.may_start() and permit.attempts_left > plan.running:
                 if plan.running and now < plan.hedge_at():
-                    wait_until = min(wait_until, plan.hedge_at())
-                elif not permit.leaves_one(self._samplers, plan.service):
-                    if not running:
-                        raise refuse_suspected(plan)
-                elif self._start(lookup, plan, running, now):
+                    wake_at = min(wake_at, plan.hedge_at())
+                elif not permit.leaves_healthy_sampler(self._samplers, plan.service):
+                    if not attempts:
+                        raise suspect_refusal(plan)
+                elif self._start(lookup, plan, attempts, now):
                     continue
-                elif not running:
-                    refusal = await self._wait_for_place(lookup, plan)
+                elif not attempts:
+                    refusal = await self._wait_for_sampler(lookup, plan)
                     if refusal is None:
                         continue
                     if last_failure is not None:
-                        return self._give_up(plan, last_failure, failed_attempts)
+                        return self._final_failure(plan, last_failure, failed_attempts)
                     raise refusal
-            elif not running:
-                return self._give_up(plan, last_failure, failed_attempts)
+            elif not attempts:
+                return self._final_failure(plan, last_failure, failed_attempts)
             done, _ = await asyncio.wait(
-                running, timeout=wait_until - now, return_when=asyncio.FIRST_COMPLETED
+                attempts, timeout=wake_at - now, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
-                running.discard(task)
+                attempts.discard(task)
                 attempt = task.result()
                 if attempt.outcome is AttemptOutcome.BROKEN and attempt.entry is not None:
-                    await permit.broke_off(attempt.entry, attempt.began_at)
+                    await permit.attempt_failed(attempt.entry, attempt.began_at)
                     plan.hedges = plan.hedges and not permit.suspected
-                if self._note(lookup, plan, attempt) and attempt.head is not None:
+                if self._apply_outcome(lookup, plan, attempt) and attempt.head is not None:
                     if attempt.head.status < 500:
-                        permit.answered()
-                        self._log_answer(lookup, plan, attempt)
+                        permit.succeeded()
+                        self._log_response(lookup, plan, attempt)
                         return LookupAnswer(attempt.head, attempt.body)
                     last_failure = attempt
                     failed_attempts += attempt.head.status == 500
 
-    def _log_answer(self, lookup: Lookup, plan: AttemptPlan, attempt: Attempt) -> None:
+    def _log_response(self, lookup: Lookup, plan: AttemptPlan, attempt: Attempt) -> None:
         fields: dict[str, object] = {
             "request": lookup.request_id,
             "service": plan.service,
@@ -124,42 +125,44 @@
         self,
         lookup: Lookup,
         plan: AttemptPlan,
-        running: set[asyncio.Task[Attempt]],
+        attempts: set[asyncio.Task[Attempt]],
         now: float,
     ) -> bool:
-        belief = plan.choose(self._samplers, now, self._rng)
-        if belief is None:
+        tracked = plan.select_sampler(self._samplers, now, self._rng)
+        if tracked is None:
             return False
-        plan.started(belief.entry.sampler_id, now)
-        running.add(asyncio.get_running_loop().create_task(self._attempt(lookup, belief)))
+        plan.started(tracked.entry.sampler_id, now)
+        attempts.add(asyncio.get_running_loop().create_task(self._attempt(lookup, tracked)))
         return True
 
-    async def _wait_for_place(self, lookup: Lookup, plan: AttemptPlan) -> StileloomError | None:
-        """Nobody is left to ask: waits where a place is expected, else says why not."""
+    async def _wait_for_sampler(self, lookup: Lookup, plan: AttemptPlan) -> StileloomError | None:
+        """Waits before samplers are tried again; returns an error if the lookup is refused."""
         listed = len(self._samplers.of_service(plan.service))
         decision = wait_or_refuse(plan, listed, lookup.deadline_at, steady_time())
         if isinstance(decision, StileloomError):
             return decision
         await asyncio.sleep(decision)
-        plan.ask_again()
+        plan.reset_refusals()
         return None
 
-    def _give_up(
+    def _final_failure(
         self, plan: AttemptPlan, last_failure: Attempt | None, failed_attempts: int
     ) -> LookupAnswer:
-        """All attempts are used: the sampler's own failure, or ours."""
+        """Returns the last error response of a sampler, or raises SAMPLER_FAILED."""
         if last_failure is not None and last_failure.head is not None:
             return LookupAnswer(last_failure.head, last_failure.body, failed_attempts)
-        raise StileloomError(ErrorKind.SAMPLER_FAILED, f"{plan.may_have_run} attempts broke off")
+        raise StileloomError(
+            ErrorKind.SAMPLER_FAILED, f"{plan.may_have_run} attempts failed without a response"
+        )
 
-    def _out_of_time(self, plan: AttemptPlan) -> StileloomError:
+    def _deadline_error(self, plan: AttemptPlan) -> StileloomError:
         if plan.may_have_run or plan.running:
-            asked = ", ".join(sorted(plan.tried - plan.refused_by))
-            return StileloomError(ErrorKind.DEADLINE_PASSED, f"no answer in time from {asked}")
-        return StileloomError(ErrorKind.OVERLOADED, "not begun in time")
+            tried = ", ".join(sorted(plan.tried - plan.refused_by))
+            return StileloomError(ErrorKind.DEADLINE_PASSED, f"no answer in time from {tried}")
+        return StileloomError(ErrorKind.OVERLOADED, "not started before the deadline")
 
-    def _note(self, lookup: Lookup, plan: AttemptPlan, attempt: Attempt) -> bool:
-        """Takes the outcome into the plan; True where there is an answer to pass on."""
+    def _apply_outcome(self, lookup: Lookup, plan: AttemptPlan, attempt: Attempt) -> bool:
+        """Applies an outcome to the plan; returns whether there is a response to pass on."""
         now = steady_time()
         sampler_id = attempt.sampler_id
         outcome = attempt.outcome
@@ -175,7 +178,7 @@
             plan.refused(sampler_id, full=False)
         elif outcome is AttemptOutcome.NOT_CONNECTED:
             self._samplers.failed(sampler_id, now)
-            plan.not_sent(sampler_id)
+            plan.connect_failed(sampler_id)
         else:
             self._samplers.failed(sampler_id, now)
             plan.ran()
@@ -194,9 +197,9 @@
         )
         return False
 
-    async def _attempt(self, lookup: Lookup, belief: SamplerBelief) -> Attempt:
-        entry = belief.entry
-        belief.open_requests += 1
+    async def _attempt(self, lookup: Lookup, tracked: SamplerBelief) -> Attempt:
+        entry = tracked.entry
+        tracked.open_requests += 1
         try:
             try:
                 connection = await self._pool.acquire(entry.sampler_id, entry.address)
@@ -217,12 +220,12 @@
             self._pool.release(entry.sampler_id, connection)
             return msgspec.structs.replace(attempt, entry=entry, began_at=began_at)
         finally:
-            belief.open_requests -= 1
+            tracked.open_requests -= 1
 
     def _encode(self, lookup: Lookup, sampler_id: str) -> bytes:
         names = self._names
-        left_ms = max(1, int((lookup.deadline_at - steady_time()) * 1000))
-        own = {names.deadline_ms.lower(), names.expect_sampler.lower()}
-        headers = [(name, value) for name, value in lookup.headers if name.lower() not in own]
-        headers += [(names.deadline_ms, str(left_ms)), (names.expect_sampler, sampler_id)]
+        remaining_ms = max(1, int((lookup.deadline_at - steady_time()) * 1000))
+        replaced = {names.deadline_ms.lower(), names.expect_sampler.lower()}
+        headers = [(name, value) for name, value in lookup.headers if name.lower() not in replaced]
+        headers += [(names.deadline_ms, str(remaining_ms)), (names.expect_sampler, sampler_id)]
         return encode_request(lookup.method, lookup.target, headers, lookup.body)
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -1,4 +1,4 @@
-"""The door of a gateway: lookups by route, and calls about batch jobs."""
+"""HTTP server of a gateway: lookups and streams by route, and calls about batch jobs."""
 
 from __future__ import annotations
 
@@ -48,15 +48,15 @@
 
 DEFAULT_DEADLINE_S = 10.0
 JOB_CALL_DEADLINE_S = 4.0
-"""For calls that state no deadline."""
+"""Default deadline of job calls."""
 DEADLINE_MARGIN_S = 0.05
-CLOSING_RETRY_S = 0.05
+CLOSING_RETRY_AFTER_S = 0.05
 UNKNOWN_OUTCOME_STATUS = 504
-"""A job call whose outcome is not known must not be answered with a promise."""
+"""Replaces 503 for a job call whose outcome is unknown, since 503 implies that it did not run."""
 
 
 class CallerRequest(msgspec.Struct):
-    """A whole request of a caller."""
+    """A complete request of a caller."""
 
     method: str
     target: str
@@ -67,12 +67,11 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
         return self.target.partition("?")[0]
 
 
-class CallerAnswer(msgspec.Struct, frozen=True):
-    """What goes back to the caller."""
+class CallerResponse(msgspec.Struct, frozen=True):
+    """A response to the caller."""
 
     status: int
     reason: str
@@ -81,7 +80,7 @@
 
 
 class Front(HTTPServerConnectionDelegate):
-    """Serves callers. One per gateway."""
+    """HTTP server delegate; one per gateway."""
 
     def __init__(
         self,
@@ -95,9 +94,9 @@
         keeps_results: bool = True,
     ) -> None:
         self.draining = False
-        """Answers state that the connection closes."""
+        """Whether responses carry `Connection: close`."""
         self.closing = False
-        """New requests are refused as not run: connections may close at any moment."""
+        """Whether new requests are refused as not run: connections may close at any moment."""
         self.max_body_bytes = IngressLimits().max_body_bytes
         self.idle_timeout_s = IngressLimits().idle_timeout_s
         self._dialect = dialect
@@ -112,25 +111,27 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a final response."""
         return self._open
 
-    def start_request(self, server_conn: object, request_conn: HTTPConnection) -> _Exchange:
-        """tornado: a request begins on a connection."""
-        return _Exchange(self, request_conn)
+    def start_request(self, server_conn: object, request_conn: HTTPConnection) -> _CallerExchange:
+        """Called by tornado for each new request."""
+        return _CallerExchange(self, request_conn)
 
     async def serve(
         self, request: CallerRequest, writer: StreamWriter | None = None
-    ) -> CallerAnswer | None:
-        """The answer to a request, or None where it went through `writer` as a stream.
+    ) -> CallerResponse | None:
+        """Returns the response, or None if it was streamed through `writer`.
 
-        Cancelled when the caller leaves.
+        Cancelled when the caller disconnects.
         """
         self._open += 1
         route_name = "job call"
         try:
             if self.closing:
-                raise StileloomError(ErrorKind.DRAINING, "the node stops", None, CLOSING_RETRY_S)
+                raise StileloomError(
+                    ErrorKind.DRAINING, "the gateway is shutting down", None, CLOSING_RETRY_AFTER_S
+                )
             names = self._dialect.names
             call = self._dialect.job_call(request.method, request.target, request.headers)
             if call is not None:
@@ -148,11 +149,12 @@
 
     def _find_route(self, request: CallerRequest) -> Route:
         if self._routes.version == 0:
-            raise StileloomError(ErrorKind.NOT_READY, "no configuration is known yet", None, 0.2)
+            raise StileloomError(ErrorKind.NOT_READY, "no configuration received yet", None, 0.2)
         route = self._routes.match(request.headers.get("Host", ""), request.path)
         if route is None:
             raise StileloomError(
-                ErrorKind.UNKNOWN_ROUTE, f"version {self._routes.version} has no such route"
+                ErrorKind.UNKNOWN_ROUTE,
+                f"no matching route in configuration {self._routes.version}",
             )
         return route
 
@@ -161,7 +163,7 @@
         try:
             return max(0.0, float(text) / 1000.0) if text else default_s
         except ValueError as error:
-            raise StileloomError(ErrorKind.BAD_REQUEST, "the deadline is no number") from error
+            raise StileloomError(ErrorKind.BAD_REQUEST, "deadline is not a number") from error
 
     # Lookups.
 
@@ -171,10 +173,10 @@
         route: Route,
         id_header: str,
         writer: StreamWriter | None,
-    ) -> CallerAnswer | None:
+    ) -> CallerResponse | None:
         request_id = request.headers.get(id_header)
         if not request_id:
-            raise StileloomError(ErrorKind.BAD_REQUEST, f"{id_header} is missing")
+            raise StileloomError(ErrorKind.BAD_REQUEST, f"header {id_header} is missing")
         limit_s = min(self._deadline_s(request, DEFAULT_DEADLINE_S), route.timeout_s)
         lookup = Lookup(
             request_id=request_id,
@@ -198,14 +200,14 @@
         head = answer.head
         headers = end_to_end(head.headers.get_all(), head.headers.get("Connection", ""))
         self._metrics.requests.labels(route.name, str(head.status)).inc()
-        return CallerAnswer(head.status, head.reason, headers, answer.body)
+        return CallerResponse(head.status, head.reason, headers, answer.body)
 
     # Jobs.
 
-    async def _submit_job(self, request: CallerRequest, route: Route) -> CallerAnswer:
+    async def _submit_job(self, request: CallerRequest, route: Route) -> CallerResponse:
         job_id = request.headers.get(self._dialect.names.request_id)
         if not job_id:
-            raise StileloomError(ErrorKind.BAD_REQUEST, "the job has no id")
+            raise StileloomError(ErrorKind.BAD_REQUEST, "job id is missing")
         host = request.headers.get("Host", "")
         submission = self._dialect.decode_job(job_id, host, request.path, request.body)
         check_submission(submission)
@@ -222,10 +224,10 @@
             },
         )
         if not isinstance(reply, JobTaken):
-            raise StileloomError(ErrorKind.INTERNAL, "unexpected answer of the ledger")
-        return _json_answer(202, b"{}")
+            raise StileloomError(ErrorKind.INTERNAL, "unexpected reply of the ledger")
+        return _json_response(202, b"{}")
 
-    async def _serve_job_call(self, request: CallerRequest, call: JobCall) -> CallerAnswer:
+    async def _serve_job_call(self, request: CallerRequest, call: JobCall) -> CallerResponse:
         timeout_s = self._deadline_s(request, JOB_CALL_DEADLINE_S)
         if isinstance(call, ReadResults):
             limit_s = max(0.1, timeout_s - DEADLINE_MARGIN_S)
@@ -237,41 +239,41 @@
         else:
             assert isinstance(call, EndJob)
             reply = await self._call(EndJobCall(call.job_id), call.job_id, timeout_s)
-        return self._answer_of(reply)
+        return self._job_response(reply)
 
-    def _answer_of(self, reply: JobReply) -> CallerAnswer:
+    def _job_response(self, reply: JobReply) -> CallerResponse:
         if isinstance(reply, ResultsRead):
-            return _json_answer(200, self._dialect.encode_page(reply.page))
+            return _json_response(200, self._dialect.encode_page(reply.page))
         if isinstance(reply, ItemRead):
             headers = [("Content-Type", "application/octet-stream")]
-            return CallerAnswer(200, "OK", headers, reply.body)
+            return CallerResponse(200, "OK", headers, reply.body)
         if isinstance(reply, JobEnded):
-            return _json_answer(200, b"{}")
+            return _json_response(200, b"{}")
         if isinstance(reply, NoSuchJob):
-            raise StileloomError(ErrorKind.UNKNOWN_JOB, "the ledger has no such job or item")
-        raise StileloomError(ErrorKind.INTERNAL, "unexpected answer of the ledger")
+            raise StileloomError(ErrorKind.UNKNOWN_JOB, "no such job or item")
+        raise StileloomError(ErrorKind.INTERNAL, "unexpected reply of the ledger")
 
     async def _call(self, request: JobRequest, job_id: str, timeout_s: float) -> JobReply:
         return await self._jobs.call(request, job_id, max(0.1, timeout_s - DEADLINE_MARGIN_S))
 
     # Failures.
 
-    def report_fault(self, request: CallerRequest, error: Exception) -> None:
-        """A fault of ours: it is logged with the request's id."""
+    def log_internal_error(self, request: CallerRequest, error: Exception) -> None:
+        """Logs an internal error with the request's id."""
         fields: dict[str, object] = {
             "request": request.headers.get(self._dialect.names.request_id, ""),
             "error": repr(error),
         }
         self._log.emit(LogEvent.INTERNAL_FAULT, fields)
 
-    def _identity_field(self, request: CallerRequest, error: StileloomError) -> dict[str, object]:
-        """Leads from a refusal to the samplers that ended under the same request."""
+    def _identity_fields(self, request: CallerRequest, error: StileloomError) -> dict[str, object]:
+        """The identity of a quarantined request, which relates it to sampler crashes."""
         if error.kind is not ErrorKind.QUARANTINED:
             return {}
         headers = request.headers.get_all()
         return {"identity": identity_of(request.method, request.target, headers, request.body)}
 
-    def _refuse(self, request: CallerRequest, error: StileloomError) -> CallerAnswer:
+    def _refuse(self, request: CallerRequest, error: StileloomError) -> CallerResponse:
         problem = problem_of(error)
         status = problem.status
         if status == 503 and error.outcome is Outcome.UNKNOWN:
@@ -281,7 +283,7 @@
         self._log.emit(
             LogEvent.REQUEST_REFUSED,
             {
-                **self._identity_field(request, error),
+                **self._identity_fields(request, error),
                 "request": request.headers.get(self._dialect.names.request_id, ""),
                 "target": request.path[:80],
                 "host": request.headers.get("Host", "")[:80],
@@ -297,16 +299,16 @@
         if status in (429, 503) and problem.retry_after_s is not None:
             headers.append(("Retry-After", f"{problem.retry_after_s:g}"))
         problem.status = status
-        return CallerAnswer(status, problem.title, headers, msgspec.json.encode(problem))
+        return CallerResponse(status, problem.title, headers, msgspec.json.encode(problem))
 
 
-def _json_answer(status: int, body: bytes) -> CallerAnswer:
+def _json_response(status: int, body: bytes) -> CallerResponse:
     reason = "Accepted" if status == 202 else "OK"
-    return CallerAnswer(status, reason, [("Content-Type", "application/json")], body)
+    return CallerResponse(status, reason, [("Content-Type", "application/json")], body)
 
 
-class _Exchange(HTTPMessageDelegate):
-    """One request on a caller's connection."""
+class _CallerExchange(HTTPMessageDelegate):
+    """One request on a caller's connection; implements `StreamWriter`."""
 
     def __init__(self, front: Front, connection: HTTPConnection) -> None:
         self._front = front
@@ -321,7 +323,7 @@
     # The caller's side of a stream.
 
     def start(self, head: ResponseHead) -> None:
-        """Sends the head of the first sampler."""
+        """Sends the head of the first sampler's response."""
         self._streaming = True
         headers = HTTPHeaders()
         for name, value in end_to_end(head.headers.get_all(), head.headers.get("Connection", "")):
@@ -332,15 +334,15 @@
         self._connection.write_headers(start_line, headers)
 
     def write(self, data: bytes) -> None:
-        """Sends events as they come."""
+        """Sends events."""
         self._connection.write(data)
 
     def end_stream(self) -> None:
-        """Ends the answer as whole."""
+        """Ends the response as complete."""
         self._connection.finish()
 
     def abort(self) -> None:
-        """Breaks the answer off: without its last chunk it can not look whole."""
+        """Aborts the response: without the last chunk the caller detects the truncation."""
         stream = getattr(self._connection, "stream", None)
         if stream is not None:
             stream.close()
@@ -348,18 +350,18 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """tornado: the request's head."""
+        """Called by tornado with the request's head."""
         assert isinstance(start_line, RequestStartLine)
         self._start = start_line
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """tornado: a part of the body."""
+        """Called by tornado with a part of the body."""
         self._size += len(chunk)
         self._parts.append(chunk)
 
     def finish(self) -> None:
-        """tornado: the request is whole."""
+        """Called by tornado when the request is complete."""
         assert self._start is not None
         request = CallerRequest(
             self._start.method,
@@ -374,14 +376,14 @@
             self._connection, "set_close_callback", None
         )
         if set_close_callback is not None:
-            set_close_callback(self._caller_left)
+            set_close_callback(self._on_disconnect)
         self._task = asyncio.get_running_loop().create_task(self._serve(request))
 
     def on_connection_close(self) -> None:
-        """tornado: the connection closed before the request was whole."""
-        self._caller_left()
+        """Called by tornado when the connection closed before the request was complete."""
+        self._on_disconnect()
 
-    def _caller_left(self) -> None:
+    def _on_disconnect(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
@@ -391,11 +393,11 @@
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            self._front.report_fault(request, error)
+            self._front.log_internal_error(request, error)
             if self._streaming:
                 self.abort()
                 return
-            answer = CallerAnswer(500, "Internal Server Error", [], b"")
+            answer = CallerResponse(500, "Internal Server Error", [], b"")
         if answer is None:
             return
         headers = HTTPHeaders()
--- a/stileloom/proxy/lookup.py
+++ b/stileloom/proxy/lookup.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to samplers, and a sampler's whole answer."""
+"""A caller's request to be forwarded, and a sampler's complete response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Lookup(msgspec.Struct, frozen=True):
-    """A request as the caller sent it."""
+    """A request as received from the caller."""
 
     request_id: str
     method: str
@@ -19,19 +19,19 @@
     arrived_at: float
     """Monotonic seconds."""
     deadline_at: float
-    """Monotonic seconds: when the caller or the route gives up."""
+    """When the caller or the route gives up, in monotonic seconds."""
     caller_address: str = ""
-    """Where the request came from, for logs only."""
+    """The caller's network address, for logs only."""
 
     def identity(self) -> str:
-        """What stays the same when the caller sends it again; reads the whole body."""
+        """Digest that is equal for all retries of the request; hashes the complete body."""
         return identity_of(self.method, self.target, self.headers, self.body)
 
 
 class LookupAnswer(msgspec.Struct, frozen=True):
-    """A sampler's whole answer."""
+    """A sampler's complete response."""
 
     head: ResponseHead
     body: bytes
     failed_attempts: int = 0
-    """Attempts that samplers answered with 500, where the answer is the last of these."""
+    """Number of attempts answered with status 500, if this response is the last of them."""
--- a/stileloom/proxy/metrics.py
+++ b/stileloom/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a gateway, and of whoever else sends requests to samplers."""
+"""Metrics of gateways and other processes that send requests to samplers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptMetrics:
-    """Counters of attempts at samplers."""
+    """Counters of attempts and connections."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.attempts = Counter(
@@ -26,12 +26,12 @@
         )
 
     def connection_opened(self) -> None:
-        """A connection to a sampler was opened."""
+        """Counts a new connection to a sampler."""
         self._connections.inc()
 
 
 class ProxyMetrics(AttemptMetrics):
-    """Counters and histograms of one gateway."""
+    """Metrics of one gateway."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         super().__init__(registry)
@@ -59,5 +59,5 @@
         )
 
     def observe_open(self, open_requests: Callable[[], int]) -> None:
-        """Where the number of open requests is read."""
+        """Sets the callback that reads the number of open requests."""
         self._open.set_function(open_requests)
--- a/stileloom/proxy/route_table.py
+++ b/stileloom/proxy/route_table.py
@@ -1,4 +1,4 @@
-"""The routes in force: match by host and longest prefix, and the weighted choice of a backend."""
+"""The active routes: matching by host and longest path prefix, and weighted backend selection."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from stileloom.api.routes import Route, RouteConfiguration, Service
 
-GOLDEN_RATIO_FRACTION = 0.6180339887498949
+GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
 
 
 class RouteTable:
-    """Routes of the newest configuration known; its version never goes back in one life."""
+    """Routes of the latest configuration; its version never decreases while the process runs."""
 
     def __init__(self, rng: random.Random) -> None:
         self.configuration: RouteConfiguration | None = None
@@ -21,11 +21,11 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 where none is known."""
+        """Active version, or 0 before the first configuration."""
         return self.configuration.version if self.configuration is not None else 0
 
     def adopt(self, configuration: RouteConfiguration) -> bool:
-        """Puts a configuration in force; False where it is not newer."""
+        """Activates a configuration; returns False if it is not newer than the active one."""
         if configuration.version <= self.version:
             return False
         by_host: dict[str, list[Route]] = {}
@@ -39,38 +39,36 @@
         return True
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of the host with the longest prefix that begins the path."""
-        bare_host = host.lower().partition(":")[0]
-        for route in self._by_host.get(bare_host, []):
+        """The route of the host with the longest prefix that matches the path."""
+        hostname = host.lower().partition(":")[0]
+        for route in self._by_host.get(hostname, []):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def service(self, name: str) -> Service | None:
-        """A service by its name."""
         return self._services.get(name)
 
     def services(self) -> list[Service]:
-        """All services."""
         return list(self._services.values())
 
     def choose_backend(self, route: Route) -> str:
-        """A service of the route, by weight.
+        """Selects a service of the route by weight.
 
-        A low-discrepancy sequence with a random start keeps each node's shares close to the
-        weights after a few requests, and nodes apart from each other.
+        Uses a low-discrepancy sequence with a random start: the shares of each node are close to
+        the weights after a few requests, and nodes are not synchronized.
         """
         if len(route.backends) == 1:
             return route.backends[0].service
         phase = self._phases.get(route.name)
         if phase is None:
             phase = self._rng.random()
-        phase = (phase + GOLDEN_RATIO_FRACTION) % 1.0
+        phase = (phase + GOLDEN_RATIO_CONJUGATE) % 1.0
         self._phases[route.name] = phase
         total = sum(backend.weight for backend in route.backends)
-        left = phase * total
+        remaining = phase * total
         for backend in route.backends:
-            left -= backend.weight
-            if left < 0:
+            remaining -= backend.weight
+            if remaining < 0:
                 return backend.service
         return route.backends[-1].service
--- a/stileloom/proxy/sampler_access.py
+++ b/stileloom/proxy/sampler_access.py
@@ -1,4 +1,4 @@
-"""What lookups, reward calls and streams of one program share on their way to samplers."""
+"""Dependencies shared by everything in one process that sends requests to samplers."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class SamplerAccess(msgspec.Struct, frozen=True):
-    """One per program."""
+    """One per process."""
 
     zone: str
-    """Samplers of this zone are preferred."""
+    """Zone whose samplers are preferred."""
     samplers: SamplerTable
     names: HeaderNames
     log: EventLog
--- a/stileloom/proxy/sampler_table.py
+++ b/stileloom/proxy/sampler_table.py
@@ -1,7 +1,7 @@
-"""What a node believes of the samplers: the directory's listing, and signs seen by itself.
+"""Samplers tracked by a node: the directory's listing combined with local observations.
 
-The first sign that a sampler leaves holds for that incarnation: directories lag, and an
-older listing must not bring it back. A later birth under the same id is another incarnation.
+The first indication that a sampler is leaving is final for that incarnation: directories lag, and
+an older listing must not bring it back. A later start under the same id is a new incarnation.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from stileloom.api.sampler_directory import SamplerEntry
 
 SUSPECT_S = 1.5
-"""How long a sampler is passed over after it failed to answer."""
+"""How long a sampler is avoided after a failed attempt."""
 
 
 class SamplerBelief(msgspec.Struct):
-    """A sampler and this node's own view of it."""
+    """A listed sampler and this node's observations of it."""
 
     entry: SamplerEntry
     open_requests: int = 0
@@ -26,36 +26,36 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that this node does not use."""
+        """Slots not used by this node."""
         return self.entry.slots - self.open_requests
 
 
 class SamplerChange(enum.Enum):
-    """What an entry says that was not known."""
+    """What changed with a new entry."""
 
     NONE = "none"
-    LEAVES = "draining"
-    """The sampler is about to leave."""
-    REBORN = "started again"
-    """Another process under the same id: nothing known of the one before holds for it."""
+    DRAINING = "draining"
+    """The sampler is leaving."""
+    RESTARTED = "started again"
+    """A new process under the same id; earlier observations no longer apply."""
 
 
 class SamplerTable:
-    """All samplers that are listed and not leaving."""
+    """Listed samplers that are not leaving."""
 
     def __init__(self) -> None:
         self.listed_once = False
-        self._beliefs: dict[str, SamplerBelief] = {}
-        self._newest_birth: dict[str, int] = {}
-        """Of each id that was listed, in Unix milliseconds."""
+        self._tracked: dict[str, SamplerBelief] = {}
+        self._latest_start_ms: dict[str, int] = {}
+        """Latest start time by sampler id, in Unix milliseconds."""
         self._leaving: set[str] = set()
-        """Ids whose newest incarnation was seen to leave."""
+        """Ids whose latest incarnation is leaving."""
 
     def replace_all(self, entries: list[SamplerEntry]) -> list[str]:
-        """Takes a whole listing; returns the ids that are gone or were born again."""
+        """Applies a complete listing; returns the ids that are gone or have restarted."""
         self.listed_once = True
         listed = {entry.sampler_id for entry in entries}
-        gone = [sampler_id for sampler_id in self._beliefs if sampler_id not in listed]
+        gone = [sampler_id for sampler_id in self._tracked if sampler_id not in listed]
         for sampler_id in gone:
             self.remove(sampler_id)
         for entry in entries:
@@ -64,71 +64,73 @@
         return gone
 
     def put(self, entry: SamplerEntry) -> SamplerChange:
-        """Adds or refreshes a sampler; an entry of an earlier process under its id is passed by."""
+        """Adds or updates a sampler; ignores entries of earlier incarnations."""
         sampler_id = entry.sampler_id
-        newest = self._newest_birth.get(sampler_id)
-        if newest is not None and entry.born_ms < newest:
+        latest_start_ms = self._latest_start_ms.get(sampler_id)
+        if latest_start_ms is not None and entry.born_ms < latest_start_ms:
             return SamplerChange.NONE
-        self._newest_birth[sampler_id] = entry.born_ms
-        reborn = newest is not None and entry.born_ms > newest
-        if reborn:
+        self._latest_start_ms[sampler_id] = entry.born_ms
+        restarted = latest_start_ms is not None and entry.born_ms > latest_start_ms
+        if restarted:
             self._leaving.discard(sampler_id)
-            self._beliefs.pop(sampler_id, None)
+            self._tracked.pop(sampler_id, None)
         if entry.draining:
             known = not self.mark_leaving(sampler_id)
-            return SamplerChange.NONE if known else SamplerChange.LEAVES
+            return SamplerChange.NONE if known else SamplerChange.DRAINING
         if sampler_id in self._leaving:
             return SamplerChange.NONE
-        belief = self._beliefs.get(sampler_id)
-        if belief is None:
-            self._beliefs[sampler_id] = SamplerBelief(entry)
+        tracked = self._tracked.get(sampler_id)
+        if tracked is None:
+            self._tracked[sampler_id] = SamplerBelief(entry)
         else:
-            belief.entry = entry
-        return SamplerChange.REBORN if reborn else SamplerChange.NONE
+            tracked.entry = entry
+        return SamplerChange.RESTARTED if restarted else SamplerChange.NONE
 
     def mark_leaving(self, sampler_id: str) -> bool:
-        """No new requests to this incarnation any more; True where that is new."""
+        """Excludes this incarnation from new requests; returns whether that is new."""
         is_new = sampler_id not in self._leaving
         self._leaving.add(sampler_id)
-        self._beliefs.pop(sampler_id, None)
+        self._tracked.pop(sampler_id, None)
         return is_new
 
     def remove(self, sampler_id: str) -> None:
-        """The directory no longer lists it.
+        """Removes a sampler that the directory no longer lists.
 
-        Entries also lapse while the directory is down, and come back: only a stated leave is
-        for good.
+        It may be added again, since entries also expire while the directory is unavailable. Only an
+        explicit leave is final.
         """
-        self._beliefs.pop(sampler_id, None)
+        self._tracked.pop(sampler_id, None)
 
     def get(self, sampler_id: str) -> SamplerBelief | None:
-        """A sampler that may take requests."""
-        return self._beliefs.get(sampler_id)
+        """The sampler if it accepts requests, or None."""
+        return self._tracked.get(sampler_id)
 
     def all(self) -> list[SamplerBelief]:
-        """Samplers that may take requests."""
-        return list(self._beliefs.values())
+        """All samplers that accept requests."""
+        return list(self._tracked.values())
 
     def of_service(self, service: str) -> list[SamplerBelief]:
-        """Samplers of a service that may take requests."""
-        return [belief for belief in self._beliefs.values() if belief.entry.service == service]
+        """Samplers of a service that accept requests."""
+        return [tracked for tracked in self._tracked.values() if tracked.entry.service == service]
 
-    def answering(self, service: str) -> set[str]:
-        """Incarnations of a service whose newest attempt from here did not fail."""
+    def responsive_incarnations(self, service: str) -> set[str]:
+        """Incarnations of a service whose latest attempt from this node did not fail."""
         return {
-            belief.entry.incarnation for belief in self.of_service(service) if not belief.failures
+            tracked.entry.incarnation
+            for tracked in self.of_service(service)
+            if not tracked.failures
         }
 
     def failed(self, sampler_id: str, now: float) -> None:
-        """A sampler did not answer: pass it over for a while."""
-        belief = self._beliefs.get(sampler_id)
-        if belief is not None:
-            belief.failures += 1
-            belief.suspect_until = now + SUSPECT_S
+        """Records a failure: the sampler is avoided for a while."""
+        tracked = self._tracked.get(sampler_id)
+        if tracked is not None:
+            tracked.failures += 1
+            tracked.suspect_until = now + SUSPECT_S
 
     def answered(self, sampler_id: str) -> None:
-        """A sampler answered."""
-        belief = self._beliefs.get(sampler_id)
-        if belief is not None:
-            belief.failures = 0
-            belief.suspect_until = 0.0
+        """Records a response and ends the avoidance."""
+        tracked = self._tracked.get(sampler_id)
+        if tracked is not None:
+            tracked.failures = 0
+            tracked.suspect_until = 0.0
--- a/stileloom/quarantine/__init__.py
+++ b/stileloom/quarantine/__init__.py
@@ -1,5 +1,5 @@
-"""Keeps requests away from samplers that end every sampler they run at.
+"""Quarantines requests that repeatedly crash the samplers that run them.
 
-Such a request is known by its identity: the same request comes again under other request ids,
-at any gateway.
+A request is recognized by its identity, a digest of its content: retries carry new request ids and
+may arrive at any gateway.
 """
--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -1,4 +1,4 @@
-"""Answers calls about suspects at the ledger's leader, and serves the leader's own guard."""
+"""Serves quarantine calls at the ledger's leader, and the leader's own guard."""
 
 from __future__ import annotations
 
@@ -24,106 +24,106 @@
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
 
 
-class ReplicatedBook(Protocol):
-    """The ledger as this part sees it."""
+class ReplicatedRegistry(Protocol):
+    """The part of the ledger that the quarantine uses."""
 
     def may_act(self) -> bool:
-        """Whether this replica leads and holds its lease now."""
+        """Whether this replica is the leader and holds its lease."""
 
     def quarantine(self) -> QuarantineBook:
-        """The book as far as this replica has applied it."""
+        """The registry as applied by this replica."""
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
 
 
 class QuarantineAuthority:
-    """Implements `QuarantineLedger` over the replica of this process."""
+    """Implements `QuarantineLedger` on the local replica."""
 
     def __init__(
         self,
-        ledger: ReplicatedBook,
+        ledger: ReplicatedRegistry,
         log: EventLog,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._ledger = ledger
         self._log = log
         self._wall_clock = wall_clock
-        self._changed: set[asyncio.Future[None]] = set()
-        self._told_revision = -1
-        self._told_held: set[str] = set()
-
-    async def report(self, ends: list[SamplerEnd], answered: list[str]) -> int:
-        """Records ends and good answers."""
-        if ends:
-            await self._propose(RecordSamplerEnds(ends, self._wall_clock()))
-        if answered:
-            await self._propose(ClearSuspects(answered))
-        return self._book().revision
+        self._waiters: set[asyncio.Future[None]] = set()
+        self._notified_revision = -1
+        self._logged_quarantined: set[str] = set()
+
+    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+        """Records crashes and successful responses; returns the revision that covers them."""
+        if crashes:
+            await self._propose(RecordSamplerEnds(crashes, self._wall_clock()))
+        if succeeded:
+            await self._propose(ClearSuspects(succeeded))
+        return self._leader_registry().revision
 
     async def release(self, identity: str) -> bool:
-        """An operator's word; whether anything was held against the request."""
-        known = identity in self._book().suspects
-        if known:
+        """Releases a request by operator command; returns whether it was a suspect."""
+        was_suspect = identity in self._leader_registry().suspects
+        if was_suspect:
             await self._propose(ClearSuspects([identity]))
             self._log.emit(
-                LogEvent.REQUEST_RELEASED, {"identity": identity, "reason": "an operator's word"}
+                LogEvent.REQUEST_RELEASED, {"identity": identity, "reason": "operator command"}
             )
-        return known
+        return was_suspect
 
     async def start_trial(self, identity: str) -> bool:
-        """Whether a held request may run once more."""
+        """Whether a quarantined request may run once more."""
         result = await self._propose(StartTrial(identity, self._wall_clock()))
         return isinstance(result, Done)
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
-        """The list once its revision is another one; None after the wait."""
+        """The listing once its revision differs from `known_revision`, or None after `wait_s`."""
         give_up_at = steady_time() + wait_s
-        while self._book().revision == known_revision:
+        while self._leader_registry().revision == known_revision:
             left_s = give_up_at - steady_time()
             if left_s <= 0:
                 return None
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._changed.add(waiter)
+            self._waiters.add(waiter)
             await asyncio.wait((waiter,), timeout=left_s)
-            self._changed.discard(waiter)
-        return self._book().listing(self._wall_clock())
+            self._waiters.discard(waiter)
+        return self._leader_registry().listing(self._wall_clock())
 
     async def forget_expired(self) -> None:
-        """Drops suspects whose time is over."""
+        """Removes expired suspects."""
         at_s = self._wall_clock()
-        if self._book().expired(at_s):
+        if self._leader_registry().expired(at_s):
             await self._propose(ForgetSuspects(at_s))
 
     def step(self) -> None:
-        """Wakes who waits for the list, and logs what has come to be held."""
-        book = self._ledger.quarantine()
-        if book.revision == self._told_revision:
+        """Wakes pending watches, and logs requests that were quarantined or released."""
+        registry = self._ledger.quarantine()
+        if registry.revision == self._notified_revision:
             return
-        self._told_revision = book.revision
-        for waiter in self._changed:
+        self._notified_revision = registry.revision
+        for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
-        held = {identity for identity in book.suspects if book.is_held(identity)}
+        quarantined = {identity for identity in registry.suspects if registry.is_held(identity)}
         if self._ledger.may_act():
-            for identity in held - self._told_held:
-                ends = sorted(book.suspects[identity].ends)
-                self._log.emit(LogEvent.REQUEST_HELD, {"identity": identity, "ends": ends})
-            for identity in self._told_held - held:
+            for identity in quarantined - self._logged_quarantined:
+                crashes = sorted(registry.suspects[identity].ends)
+                self._log.emit(LogEvent.REQUEST_HELD, {"identity": identity, "ends": crashes})
+            for identity in self._logged_quarantined - quarantined:
                 self._log.emit(
                     LogEvent.REQUEST_RELEASED,
-                    {"identity": identity, "reason": "answered, explained, released or expired"},
+                    {"identity": identity, "reason": "cleared, attributed elsewhere or expired"},
                 )
-        self._told_held = held
+        self._logged_quarantined = quarantined
 
-    def _book(self) -> QuarantineBook:
-        """The book of the leader. Raises `StileloomError` at any other replica."""
+    def _leader_registry(self) -> QuarantineBook:
+        """The leader's registry. Raises `StileloomError` on any other replica."""
         if not self._ledger.may_act():
-            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "this replica does not lead")
+            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "this replica is not the leader")
         return self._ledger.quarantine()
 
     async def _propose(self, command: Command) -> CommandResult:
-        self._book()
+        self._leader_registry()
         result = await self._ledger.propose(command)
         self.step()
         return result
--- a/stileloom/quarantine/book.py
+++ b/stileloom/quarantine/book.py
@@ -1,6 +1,6 @@
-"""The replicated record of requests under which samplers ended, and which of them are held.
+"""Replicated registry of requests under which samplers crashed, and of which are quarantined.
 
-Deterministic: it reads no clock. Times are the leader's wall time, as commands carry it.
+Deterministic: it reads no clock. Times are the leader's wall-clock time, carried by the commands.
 """
 
 from __future__ import annotations
@@ -10,82 +10,82 @@
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
 
 ENDS_ALONE = 3
-"""So many ends under a request hold it, where no other request was under all of them. Two could
-still be chance: a request that lost its sampler is sent to another one at once."""
+"""Crashes after which a request is quarantined if no other request was running during all of them.
+Two crashes may be a coincidence: a request whose sampler crashed is retried on another one at once.
+"""
 ENDS_SHARED = 4
-"""Of requests that were under the very same ends one at most is the cause. The next end tells
-which, for one sampler more; until then nobody is refused."""
+"""Crashes after which requests with identical crash sets are quarantined together. At most one of
+them is the cause; below this threshold none is refused, because the next crash tells them apart."""
 LISTED_FROM = 2
-"""Ends from which other nodes are told: below, a request is treated as any other, and a crash
-under two hundred requests makes no list of two hundred."""
-SUSPECT_S = 600.0
-"""An end counts so long. Samplers that end by themselves do so some times a day, so chance
-rarely adds three within ten minutes."""
-FIRST_HOLD_S = 120.0
-"""After this a held request may run once more in the whole fleet, in case its cause is mended;
-doubled with each such trial."""
-MAX_HOLD_S = 3600.0
-MOST_SUSPECTS = 10_000
-"""Some 2 MB. Those that are held are never dropped for others."""
+"""Crashes after which a suspect is published to other nodes. A single crash under hundreds of
+concurrent requests must not publish hundreds of suspects."""
+CRASH_RETENTION_S = 600.0
+"""How long a crash counts against a request."""
+INITIAL_QUARANTINE_S = 120.0
+"""Delay until a quarantined request may run once more in the whole fleet, in case the cause has
+been fixed. Doubles with each trial."""
+MAX_QUARANTINE_S = 3600.0
+MAX_SUSPECTS = 10_000
+"""Bounds memory to about 2 MB. Quarantined requests are never evicted to make room."""
 
 
 class Suspect(msgspec.Struct):
-    """A request under which samplers ended, with no good answer since."""
+    """A request under which samplers crashed, without a successful response since."""
 
     ends: dict[str, float] = msgspec.field(default_factory=dict)
-    """When each incarnation of a sampler ended."""
+    """Crash time by sampler incarnation."""
     trials: int = 0
     tried_at_s: float = 0.0
 
     @property
-    def hold_s(self) -> float:
-        """Time from the newest end or trial to the next trial."""
+    def quarantine_s(self) -> float:
+        """Delay from the latest crash or trial to the next trial."""
         doublings = min(self.trials, 10)
-        return min(MAX_HOLD_S, FIRST_HOLD_S * 2**doublings)
+        return min(MAX_QUARANTINE_S, INITIAL_QUARANTINE_S * 2**doublings)
 
     @property
-    def newest_s(self) -> float:
-        """Time of the newest end or trial."""
+    def last_event_s(self) -> float:
+        """Time of the latest crash or trial."""
         return max([self.tried_at_s, *self.ends.values()])
 
     @property
-    def trial_at_s(self) -> float:
-        """From when one more run is allowed, if it is held."""
-        return self.newest_s + self.hold_s
+    def next_trial_at_s(self) -> float:
+        """Earliest time of the next trial of a quarantined request."""
+        return self.last_event_s + self.quarantine_s
 
-    def expired(self, at_s: float) -> bool:
-        """Whether nothing is held against it any more."""
-        return at_s > self.newest_s + max(SUSPECT_S, 2 * self.hold_s)
+    def is_expired(self, at_s: float) -> bool:
+        """Whether the suspect can be removed."""
+        return at_s > self.last_event_s + max(CRASH_RETENTION_S, 2 * self.quarantine_s)
 
 
 class QuarantineBook(msgspec.Struct):
-    """All suspects. Part of the ledger's state."""
+    """All suspects; part of the ledger's state."""
 
     revision: int = 0
-    """Raised by each change that other nodes have to hear of."""
+    """Incremented by each change that other nodes must receive."""
     suspects: dict[str, Suspect] = msgspec.field(default_factory=dict)
 
-    def record(self, ends: list[SamplerEnd], at_s: float) -> None:
-        """Adds ends; a repeat changes nothing."""
-        for end in ends:
-            suspect = self.suspects.get(end.identity)
+    def record(self, crashes: list[SamplerEnd], at_s: float) -> None:
+        """Records crashes; idempotent."""
+        for crash in crashes:
+            suspect = self.suspects.get(crash.identity)
             if suspect is None:
-                self._make_room()
-                suspect = self.suspects.setdefault(end.identity, Suspect())
-            elif not self.is_held(end.identity):
+                self._evict_oldest_if_full()
+                suspect = self.suspects.setdefault(crash.identity, Suspect())
+            elif not self.is_held(crash.identity):
                 suspect.ends = {
                     sampler: ended_at
                     for sampler, ended_at in suspect.ends.items()
-                    if at_s <= ended_at + SUSPECT_S
+                    if at_s <= ended_at + CRASH_RETENTION_S
                 }
-            if end.sampler in suspect.ends:
+            if crash.sampler in suspect.ends:
                 continue
-            suspect.ends[end.sampler] = at_s
+            suspect.ends[crash.sampler] = at_s
             if len(suspect.ends) >= LISTED_FROM:
                 self.revision += 1
 
     def clear(self, identities: list[str]) -> list[str]:
-        """A good answer, or an operator's word: nothing is held against them. Returns the known."""
+        """Clears suspects after a successful response or release; returns the known ones."""
         cleared = [identity for identity in identities if identity in self.suspects]
         for identity in cleared:
             if len(self.suspects.pop(identity).ends) >= LISTED_FROM:
@@ -93,11 +93,11 @@
         return cleared
 
     def start_trial(self, identity: str, at_s: float) -> bool:
-        """Whether a held request may run once more now; the next trial is then put off."""
+        """Whether a quarantined request may run once more now; if so, postpones the next trial."""
         suspect = self.suspects.get(identity)
         if suspect is None or not self.is_held(identity):
             return True
-        if at_s < suspect.trial_at_s:
+        if at_s < suspect.next_trial_at_s:
             return False
         suspect.trials += 1
         suspect.tried_at_s = at_s
@@ -105,49 +105,52 @@
         return True
 
     def forget_expired(self, at_s: float) -> None:
-        """Drops suspects against whom nothing is held any more."""
+        """Removes expired suspects."""
         for identity in self.expired(at_s):
             if len(self.suspects.pop(identity).ends) >= LISTED_FROM:
                 self.revision += 1
 
     def expired(self, at_s: float) -> list[str]:
-        """Suspects that may be dropped."""
-        return [identity for identity, item in self.suspects.items() if item.expired(at_s)]
+        """Identities of expired suspects."""
+        return [identity for identity, suspect in self.suspects.items() if suspect.is_expired(at_s)]
 
     def is_held(self, identity: str) -> bool:
-        """Whether the request is refused everywhere.
+        """Whether the request is refused by all nodes.
 
-        Where another request was under all the same ends and more, that one explains them.
+        A request is not quarantined while another request was running during all of the same
+        crashes and more, since that request explains them.
         """
         suspect = self.suspects.get(identity)
         if suspect is None or len(suspect.ends) < ENDS_ALONE:
             return False
-        own = suspect.ends.keys()
-        shared_is_enough = len(own) >= ENDS_SHARED
+        own_crashes = suspect.ends.keys()
+        may_share_crashes = len(own_crashes) >= ENDS_SHARED
         for other_identity, other in self.suspects.items():
-            if other_identity == identity or len(other.ends) < len(own):
+            if other_identity == identity or len(other.ends) < len(own_crashes):
                 continue
-            if own <= other.ends.keys() and not (shared_is_enough and own == other.ends.keys()):
+            if own_crashes <= other.ends.keys() and not (
+                may_share_crashes and own_crashes == other.ends.keys()
+            ):
                 return False
         return True
 
     def listing(self, at_s: float) -> QuarantineListing:
-        """What other nodes have to know."""
+        """The suspects to publish to other nodes."""
         suspects = [
             SuspectSummary(
                 identity,
                 sorted(suspect.ends),
                 self.is_held(identity),
-                max(0.0, suspect.trial_at_s - at_s),
+                max(0.0, suspect.next_trial_at_s - at_s),
             )
             for identity, suspect in self.suspects.items()
             if len(suspect.ends) >= LISTED_FROM
         ]
         return QuarantineListing(self.revision, suspects)
 
-    def _make_room(self) -> None:
-        """Drops the oldest suspect that is not held, where there are too many."""
-        if len(self.suspects) < MOST_SUSPECTS:
+    def _evict_oldest_if_full(self) -> None:
+        """Evicts the oldest suspect below the quarantine threshold when the registry is full."""
+        if len(self.suspects) < MAX_SUSPECTS:
             return
         for identity, suspect in self.suspects.items():
             if len(suspect.ends) < ENDS_ALONE:
--- a/stileloom/quarantine/end_probe.py
+++ b/stileloom/quarantine/end_probe.py
@@ -1,8 +1,8 @@
-"""Asks whether a sampler's process is still there after a connection to it broke.
+"""Checks whether a sampler's process still exists after a connection to it broke.
 
-A broken connection proves nothing about its sampler: links are reset, idle connections are
-reused too late, answers are lost. Only a port on which nobody listens shows that the process
-has ended.
+A broken connection does not prove a crash: links are reset, idle connections are reused after the
+peer closed them, and responses are lost. Only a refused connection, meaning that no process listens
+on the port, does.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 from collections.abc import Callable
 
 CONNECT_TIMEOUT_S = 0.3
-"""An ended process is told by a reset within one round trip (1 to 10 ms); silence tells nothing."""
+"""A crashed process is detected by a TCP reset within one round trip; a timeout proves nothing."""
 
 
-class ListenerSign(enum.Enum):
-    """What one connection attempt tells of a sampler's process."""
+class ProbeResult(enum.Enum):
+    """Result of one connection attempt to a sampler's address."""
 
-    LISTENS = "listens"
-    """A process accepts connections: this one, or its successor."""
+    LISTENING = "listens"
+    """A process accepts connections: the same one or its successor."""
     REFUSED = "refused"
-    """Nobody listens: the process has ended."""
-    SILENT = "silent"
-    """No answer: the machine is dark, or the link is cut. Proves nothing."""
+    """No process listens on the port: the sampler crashed."""
+    UNRESPONSIVE = "silent"
+    """No response: the machine is down or the network is partitioned. Proves nothing."""
 
 
 async def probe_listener(
     address: tuple[str, int], on_open: Callable[[], None] = lambda: None
-) -> ListenerSign:
-    """Opens a connection and closes it at once; `on_open` counts it."""
+) -> ProbeResult:
+    """Opens a connection and closes it at once; calls `on_open` to count it."""
     on_open()
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(address[0], address[1])
     except ConnectionRefusedError:
-        return ListenerSign.REFUSED
+        return ProbeResult.REFUSED
     except (OSError, TimeoutError):
-        return ListenerSign.SILENT
+        return ProbeResult.UNRESPONSIVE
     writer.transport.abort()
-    return ListenerSign.LISTENS
+    return ProbeResult.LISTENING
--- a/stileloom/quarantine/identity.py
+++ b/stileloom/quarantine/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a request: what stays the same when a caller sends it again."""
+"""The identity of a request: a digest that is equal for all retries of it."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from collections.abc import Iterable
 
 DIGEST_BYTES = 16
-"""Collisions would refuse a stranger's request: with 16 bytes not even chosen inputs collide."""
+"""Large enough to resist chosen-input collisions, which would quarantine an unrelated request."""
 CREDENTIAL_HEADERS = frozenset({"authorization", "cookie", "x-api-key"})
-"""Headers that say who the caller is: two callers with the same request are two identities."""
+"""Headers that identify the caller: the same request from two callers has two identities."""
 
 
 def identity_of(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes) -> str:
-    """A digest of method, host, target, credentials and body, in hex.
+    """Hex digest of method, host, target, credentials and body.
 
-    The caller's network address is left out: behind a balancer it changes between two attempts.
+    The caller's network address is excluded: behind a load balancer it changes between attempts.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     parts = [method.upper(), target]
--- a/stileloom/quarantine/messages.py
+++ b/stileloom/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell one another about requests under which samplers ended."""
+"""Messages between nodes about requests under which samplers crashed."""
 
 from __future__ import annotations
 
@@ -6,78 +6,78 @@
 
 
 class SamplerEnd(msgspec.Struct, frozen=True, array_like=True):
-    """A sampler's process ended soon after a request had begun there."""
+    """A sampler crashed soon after it started a request."""
 
     identity: str
     sampler: str
-    """The sampler's incarnation."""
+    """Incarnation of the sampler."""
 
 
 class SuspectSummary(msgspec.Struct, frozen=True, array_like=True):
-    """A request under which several samplers ended."""
+    """A request under which several samplers crashed."""
 
     identity: str
     ends: list[str]
-    """Incarnations that ended."""
+    """Incarnations that crashed."""
     held: bool
-    """Refused everywhere."""
+    """Whether the request is quarantined."""
     trial_in_s: float
-    """After this one run in the whole fleet may be asked for."""
+    """Time until a trial run may be requested."""
 
 
 class QuarantineListing(msgspec.Struct, frozen=True):
-    """All suspects that other nodes have to know."""
+    """All suspects that are published to other nodes."""
 
     revision: int
     suspects: list[SuspectSummary]
 
 
 class ReportSuspectsCall(msgspec.Struct, frozen=True, tag=True):
-    """Ends that a node has seen, and suspects that got a good answer; safe to repeat."""
+    """Reports crashes, and suspects with a successful response; idempotent."""
 
     ends: list[SamplerEnd]
     answered: list[str]
 
 
 class SuspectsReported(msgspec.Struct, frozen=True, tag=True):
-    """The report is durable at a majority."""
+    """The report is committed by a majority."""
 
     revision: int
 
 
 class WatchQuarantineCall(msgspec.Struct, frozen=True, tag=True):
-    """The list, as soon as its revision is another one, or after `wait_s`."""
+    """Long poll: returns once the revision differs from `known_revision`, or after `wait_s`."""
 
     known_revision: int
     wait_s: float
 
 
 class QuarantineListed(msgspec.Struct, frozen=True, tag=True):
-    """The list, or None where it has not changed."""
+    """The listing, or None if it has not changed."""
 
     listing: QuarantineListing | None
 
 
 class StartTrialCall(msgspec.Struct, frozen=True, tag=True):
-    """May this held request run once more?"""
+    """Asks whether a quarantined request may run once more."""
 
     identity: str
 
 
 class TrialAnswered(msgspec.Struct, frozen=True, tag=True):
-    """Whether it may: at most one run in the whole fleet for each time."""
+    """Whether the trial is granted; at most one in the whole fleet per interval."""
 
     granted: bool
 
 
 class ReleaseSuspectCall(msgspec.Struct, frozen=True, tag=True):
-    """An operator's word: nothing is held against this request any more."""
+    """Releases a request by operator command."""
 
     identity: str
 
 
 class SuspectReleased(msgspec.Struct, frozen=True, tag=True):
-    """Whether anything was held against it."""
+    """Whether the request was a suspect."""
 
     known: bool
 
--- a/stileloom/quarantine/metrics.py
+++ b/stileloom/quarantine/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of requests under which samplers ended."""
+"""Metrics of the quarantine."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class QuarantineMetrics:
-    """Counters of one program."""
+    """Quarantine metrics of one process."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.probes = Counter(
@@ -40,6 +40,6 @@
             registry=registry,
         )
 
-    def observe_held(self, held: Callable[[], float]) -> None:
-        """Where the number of held requests is read."""
-        self._held.set_function(held)
+    def observe_quarantined(self, count: Callable[[], float]) -> None:
+        """Sets the callback that reads the number of quarantined requests."""
+        self._held.set_function(count)
--- a/stileloom/quarantine/remote_ledger.py
+++ b/stileloom/quarantine/remote_ledger.py
@@ -1,4 +1,4 @@
-"""A gateway's side of calls about suspects: through the client that finds the ledger's leader."""
+"""A gateway's quarantine calls, sent to the ledger's leader through `JobClient`."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 )
 
 CALL_TIMEOUT_S = 2.0
-"""A report or watch is asked again; this only bounds one round of finding the leader."""
+"""Bounds one round of leader discovery; reports and watches are retried."""
 TRIAL_TIMEOUT_S = 0.5
-"""A caller waits for it: a held request is refused rather than kept waiting."""
-NO_REQUEST = ""
-"""These calls are the node's own: no caller waits for them but for a trial."""
+"""Short, since a caller is waiting: without a reply the request is refused."""
+NO_REQUEST_ID = ""
+"""Request id of calls that no caller's request caused."""
 
 
 class RemoteQuarantineLedger:
-    """Implements `QuarantineLedger`."""
+    """Implements `QuarantineLedger` by calls to the leader."""
 
     def __init__(self, client: JobClient) -> None:
         self._client = client
 
-    async def report(self, ends: list[SamplerEnd], answered: list[str]) -> int:
-        """Records ends and good answers."""
-        call = ReportSuspectsCall(ends, answered)
-        reply = await self._client.call(call, NO_REQUEST, CALL_TIMEOUT_S)
+    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+        """Records crashes and successful responses; returns the revision that covers them."""
+        call = ReportSuspectsCall(crashes, succeeded)
+        reply = await self._client.call(call, NO_REQUEST_ID, CALL_TIMEOUT_S)
         if not isinstance(reply, SuspectsReported):
             raise _unexpected(reply)
         return reply.revision
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
-        """The list once its revision is another one; None after the wait."""
+        """The listing once its revision differs from `known_revision`, or None after `wait_s`."""
         call = WatchQuarantineCall(known_revision, wait_s)
-        reply = await self._client.call(call, NO_REQUEST, wait_s + CALL_TIMEOUT_S)
+        reply = await self._client.call(call, NO_REQUEST_ID, wait_s + CALL_TIMEOUT_S)
         if not isinstance(reply, QuarantineListed):
             raise _unexpected(reply)
         return reply.listing
 
     async def start_trial(self, identity: str) -> bool:
-        """Whether a held request may run once more."""
-        reply = await self._client.call(StartTrialCall(identity), NO_REQUEST, TRIAL_TIMEOUT_S)
+        """Whether a quarantined request may run once more."""
+        reply = await self._client.call(StartTrialCall(identity), NO_REQUEST_ID, TRIAL_TIMEOUT_S)
         if not isinstance(reply, TrialAnswered):
             raise _unexpected(reply)
         return reply.granted
 
 
 def _unexpected(reply: object) -> StileloomError:
-    detail = f"the leader answered {type(reply).__name__} to a call about suspects"
+    detail = f"unexpected reply of the ledger to a quarantine call: {type(reply).__name__}"
     return StileloomError(ErrorKind.INTERNAL, detail)
--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -1,4 +1,4 @@
-"""What one node knows of suspects: the fleet's list, and ends of its own on their way there."""
+"""One node's view of suspects: the fleet's listing, and its own crashes that are not yet in it."""
 
 from __future__ import annotations
 
@@ -7,115 +7,116 @@
 from stileloom.quarantine.book import ENDS_ALONE
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
 
-MOST_PENDING = 4096
-"""Ends that wait for the ledger, some 400 KB; more than all requests in flight at one gateway."""
-MOST_ANSWERED = 4096
-"""Good answers that are remembered, some 400 KB."""
-ANSWERED_S = 60.0
-"""A good answer so long ago still tells a popular request from a poison one, which has none."""
+MAX_PENDING = 4096
+"""Bounds memory to about 400 KB; more than the requests in flight at one gateway."""
+MAX_REMEMBERED_SUCCESSES = 4096
+"""Bounds memory to about 400 KB."""
+SUCCESS_RETENTION_S = 60.0
+"""How long a successful response clears a request: a poison request never succeeds."""
 
 
 class QuarantineView:
-    """No I/O; monotonic seconds."""
+    """Performs no I/O; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._revision = -1
         self._listed: dict[str, SuspectSummary] = {}
-        self._learned_at = 0.0
+        self._received_at = 0.0
         self._pending: dict[str, dict[str, int | None]] = {}
-        """Own ends by identity and sampler; with the revision from which a list covers them,
-        None before the ledger has them."""
-        self._answered: collections.OrderedDict[str, float] = collections.OrderedDict()
+        """Local crashes by identity and sampler, each with the listing revision that covers it, or
+        None until the ledger has accepted it."""
+        self._successes: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
     def revision(self) -> int:
-        """Revision of the list, -1 before the first one."""
+        """Revision of the current listing; -1 before the first one."""
         return self._revision
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is known against any request."""
+        """Whether no request is a suspect."""
         return not self._listed and not self._pending
 
     @property
-    def held_count(self) -> int:
-        """Listed requests that are refused."""
+    def quarantined_count(self) -> int:
+        """Number of listed requests that are quarantined."""
         return sum(summary.held for summary in self._listed.values())
 
-    def learn(self, listing: QuarantineListing, now: float) -> list[str]:
-        """Takes the leader's list; returns held requests that are innocent.
+    def apply_listing(self, listing: QuarantineListing, now: float) -> list[str]:
+        """Applies a listing; returns quarantined requests that recently succeeded at this node.
 
-        A poison request never gets a good answer, so one that had one here lately is none. Each
-        remembered answer is used once, for the case that it ends samplers only since then.
+        A poison request never succeeds, so these are false positives. Each remembered response is
+        used only once, in case the request has become poisonous since.
         """
         self._revision = listing.revision
-        self._learned_at = now
+        self._received_at = now
         self._listed = {summary.identity: summary for summary in listing.suspects}
         for identity in list(self._pending):
             self._drop_covered(identity)
         return [
             identity
             for identity, summary in self._listed.items()
-            if summary.held and self._answered_lately(identity, now)
+            if summary.held and self._succeeded_recently(identity, now)
         ]
 
     def _drop_covered(self, identity: str) -> None:
-        rest = {
+        uncovered = {
             sampler: covered_from
             for sampler, covered_from in self._pending.pop(identity).items()
             if covered_from is None or covered_from > self._revision
         }
-        if rest:
-            self._pending[identity] = rest
+        if uncovered:
+            self._pending[identity] = uncovered
 
-    def _answered_lately(self, identity: str, now: float) -> bool:
-        answered_at = self._answered.pop(identity, None)
-        return answered_at is not None and now <= answered_at + ANSWERED_S
+    def _succeeded_recently(self, identity: str, now: float) -> bool:
+        succeeded_at = self._successes.pop(identity, None)
+        return succeeded_at is not None and now <= succeeded_at + SUCCESS_RETENTION_S
 
-    def ended(self, end: SamplerEnd) -> None:
-        """This node saw a sampler end under a request."""
-        if len(self._pending) >= MOST_PENDING and end.identity not in self._pending:
+    def record_crash(self, crash: SamplerEnd) -> None:
+        """Records a crash seen by this node."""
+        if len(self._pending) >= MAX_PENDING and crash.identity not in self._pending:
             self._pending.pop(next(iter(self._pending)))
-        self._pending.setdefault(end.identity, {}).setdefault(end.sampler, None)
-        self._answered.pop(end.identity, None)
-
-    def reported(self, ends: list[SamplerEnd], revision: int) -> None:
-        """The ledger has these ends; lists from `revision` on cover them."""
-        for end in ends:
-            samplers = self._pending.get(end.identity)
-            if samplers is not None and end.sampler in samplers:
-                samplers[end.sampler] = revision
-                self._drop_covered(end.identity)
-
-    def answered(self, identity: str, now: float) -> bool:
-        """A good answer; True where something was known against the request."""
-        self._answered[identity] = now
-        self._answered.move_to_end(identity)
-        if len(self._answered) > MOST_ANSWERED:
-            self._answered.popitem(last=False)
+        self._pending.setdefault(crash.identity, {}).setdefault(crash.sampler, None)
+        self._successes.pop(crash.identity, None)
+
+    def mark_reported(self, crashes: list[SamplerEnd], revision: int) -> None:
+        """Marks crashes as accepted by the ledger; listings from `revision` on include them."""
+        for crash in crashes:
+            samplers = self._pending.get(crash.identity)
+            if samplers is not None and crash.sampler in samplers:
+                samplers[crash.sampler] = revision
+                self._drop_covered(crash.identity)
+
+    def record_success(self, identity: str, now: float) -> bool:
+        """Records a successful response; returns whether the request was a suspect."""
+        self._successes[identity] = now
+        self._successes.move_to_end(identity)
+        if len(self._successes) > MAX_REMEMBERED_SUCCESSES:
+            self._successes.popitem(last=False)
         pending = self._pending.pop(identity, None)
         return pending is not None or identity in self._listed
 
     def ends_under(self, identity: str) -> set[str]:
-        """Incarnations that are known to have ended under a request."""
+        """Incarnations known to have crashed under a request."""
         listed = self._listed.get(identity)
-        ends = set(listed.ends) if listed is not None else set()
-        return ends | self._pending.get(identity, {}).keys()
+        crashed = set(listed.ends) if listed is not None else set()
+        return crashed | self._pending.get(identity, {}).keys()
 
     def is_held(self, identity: str) -> bool:
-        """Whether the request is refused.
+        """Whether the request is quarantined.
 
-        Own ends that the list does not cover count as well: the ledger may be out of reach.
+        Local crashes that the listing does not cover count as well, since the ledger may be
+        unreachable.
         """
         listed = self._listed.get(identity)
         if listed is not None and listed.held:
             return True
-        uncovered = identity in self._pending
-        return uncovered and len(self.ends_under(identity)) >= ENDS_ALONE
+        has_unlisted_crashes = identity in self._pending
+        return has_unlisted_crashes and len(self.ends_under(identity)) >= ENDS_ALONE
 
     def trial_in_s(self, identity: str, now: float) -> float:
-        """Time until a trial may be asked for; infinite where the list does not hold it."""
+        """Time until a trial may be requested; infinite if the request is not quarantined."""
         listed = self._listed.get(identity)
         if listed is None or not listed.held:
             return float("inf")
-        return max(0.0, listed.trial_in_s - (now - self._learned_at))
+        return max(0.0, listed.trial_in_s - (now - self._received_at))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -44,10 +44,10 @@
         "a suspected lookup takes the last sampler of its service",
         "poison requests",
         "stileloom/quarantine/guard.py",
-        "return len(samplers.answering(service) - self._ends_known()) > 1",
+        "return len(samplers.responsive_incarnations(service) - self._crashed_samplers()) > 1",
         "return True",
         f"{QUARANTINE}::PoisonLookupTest"
-        "::test_a_lookup_that_ends_its_samplers_leaves_its_service_one",
+        "::test_a_poison_lookup_leaves_its_service_one_sampler",
     ),
     Mutant(
         "a call drops a cancellation that comes with its reply",
@@ -73,7 +73,7 @@
         "stileloom/proxy/attempt_plan.py",
         "        self.unreachable.add(sampler_id)\n",
         "",
-        f"{ADMISSION}::AbsentServiceTest::test_a_lookup_asks_each_sampler_once_and_is_refused",
+        f"{ADMISSION}::AbsentServiceTest::test_a_lookup_tries_each_unreachable_sampler_once",
     ),
     Mutant(
         "a lookup waits for samplers that can not be reached",
@@ -82,61 +82,61 @@
         "    if not plan.full:\n",
         "    if not listed:\n",
         f"{ADMISSION}::DecisionTest"
-        "::test_without_any_sampler_in_reach_a_lookup_is_refused_at_its_arrival",
+        "::test_a_lookup_without_reachable_samplers_is_refused_at_once",
     ),
     Mutant(
         "a gateway keeps the ends that it sees to itself",
         "poison requests",
         "stileloom/quarantine/guard.py",
-        "        self._ends.append(end)\n",
+        "        self._unreported_crashes.append(crash)\n",
         "",
         f"{QUARANTINE}::PoisonLookupTest"
-        "::test_a_lookup_that_ends_its_samplers_ends_three_at_most_in_the_whole_fleet",
+        "::test_a_poison_lookup_crashes_at_most_three_samplers_in_the_whole_fleet",
     ),
     Mutant(
         "any broken connection counts as the sampler's end",
         "innocent requests",
         "stileloom/quarantine/guard.py",
-        "if sign is not ListenerSign.REFUSED:",
-        "if sign is ListenerSign.SILENT:",
-        f"{QUARANTINE}::InnocentLookupTest"
-        "::test_resets_by_living_samplers_hold_nothing_against_a_request",
+        "if result is not ProbeResult.REFUSED:",
+        "if result is ProbeResult.UNRESPONSIVE:",
+        f"{QUARANTINE}::FalsePositiveTest"
+        "::test_connection_resets_by_running_samplers_do_not_count_as_crashes",
     ),
     Mutant(
         "requests under the same ends are all held at the third",
         "innocent requests",
         "stileloom/quarantine/book.py",
-        "shared_is_enough = len(own) >= ENDS_SHARED",
-        "shared_is_enough = True",
+        "may_share_crashes = len(own_crashes) >= ENDS_SHARED",
+        "may_share_crashes = True",
         f"{BOOK}::QuarantineBookTest"
-        "::test_two_hundred_requests_under_the_same_ends_are_not_held_and_the_next_end_tells",
+        "::test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs",
     ),
     Mutant(
         "a good answer clears nothing",
         "innocent requests",
         "stileloom/quarantine/view.py",
-        "        answered_at = self._answered.pop(identity, None)",
-        "        answered_at = None",
+        "        succeeded_at = self._successes.pop(identity, None)",
+        "        succeeded_at = None",
         f"{BOOK}::QuarantineViewTest"
-        "::test_a_popular_request_that_was_on_ended_samplers_is_cleared_by_its_good_answers",
+        "::test_a_popular_request_on_crashed_samplers_is_cleared_by_its_successful_responses",
     ),
     Mutant(
         "every gateway may try a held request",
         "poison requests",
         "stileloom/quarantine/book.py",
-        "        if at_s < suspect.trial_at_s:",
+        "        if at_s < suspect.next_trial_at_s:",
         "        if at_s < 0.0:",
         f"{BOOK}::QuarantineBookTest"
-        "::test_one_trial_in_the_whole_fleet_for_each_time_and_later_each_time",
+        "::test_one_trial_in_the_whole_fleet_per_interval_with_exponential_backoff",
     ),
     Mutant(
         "an entry of an earlier process is taken for the newest",
         "incarnations",
         "stileloom/proxy/sampler_table.py",
-        "if newest is not None and entry.born_ms < newest:",
-        "if newest is not None and entry.born_ms < 0:",
+        "if latest_start_ms is not None and entry.born_ms < latest_start_ms:",
+        "if latest_start_ms is not None and entry.born_ms < 0:",
         "tests/test_routes.py::SamplerTableTest"
-        "::test_an_older_birth_that_arrives_late_changes_nothing",
+        "::test_a_late_entry_of_an_earlier_start_is_ignored",
     ),
     Mutant(
         "segments take the newest version for all tokens",
--- a/tests/test_end_probe.py
+++ b/tests/test_end_probe.py
@@ -1,4 +1,4 @@
-"""What a connection attempt tells of a sampler's process."""
+"""Probes of a sampler's address."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import testtools
 
-from stileloom.quarantine.end_probe import ListenerSign, probe_listener
+from stileloom.quarantine.end_probe import ProbeResult, probe_listener
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
 
 
 class ProbeListenerTest(testtools.TestCase):
-    """Only a port without a listener shows that a process has ended."""
+    """Only a refused connection proves that a process ended."""
 
-    def test_a_listening_process_and_an_ended_one_are_told_apart(self) -> None:
+    def test_distinguishes_listening_and_ended_processes(self) -> None:
         async def scenario() -> None:
             server = await asyncio.start_server(lambda reader, writer: writer.close(), HOST, 0)
             address = server.sockets[0].getsockname()[:2]
             opened: list[int] = []
-            sign = await probe_listener(address, lambda: opened.append(1))
-            self.assertEqual(ListenerSign.LISTENS, sign)
+            result = await probe_listener(address, lambda: opened.append(1))
+            self.assertEqual(ProbeResult.LISTENING, result)
             self.assertEqual([1], opened)
             server.close()
             await server.wait_closed()
-            self.assertEqual(ListenerSign.REFUSED, await probe_listener((HOST, free_port())))
+            self.assertEqual(ProbeResult.REFUSED, await probe_listener((HOST, free_port())))
 
         asyncio.run(scenario())
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of gateways against a small oracle, in virtual time: how many samplers one request ends.
+"""Property test: samplers crashed by one request across a fleet of gateways, in virtual time.
 
-Hypothesis drives the real record and the real views. Reports and lists are late, lost and repeated;
-gateways restart and forget; the ledger is away for a while.
+Hypothesis drives the real registry and views. Reports and listings are delayed, lost and repeated,
+gateways restart without state, and the ledger is temporarily unavailable.
 """
 
 from __future__ import annotations
@@ -20,105 +20,106 @@
 GATEWAYS = 300
 POISON = "poison"
 POPULAR = "popular"
-EVERYBODY = range(GATEWAYS)
+GATEWAY_IDS = range(GATEWAYS)
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Arrivals at gateways; the oracle counts samplers that ended once everybody could know."""
+    """Arrivals at gateways; counts crashes after every gateway has the quarantine listing."""
 
     def __init__(self) -> None:
         super().__init__()
         self.book = QuarantineBook()
         self.now = 0.0
-        self.views = {number: QuarantineView() for number in EVERYBODY}
+        self.views = {number: QuarantineView() for number in GATEWAY_IDS}
         self.reports: list[tuple[int, SamplerEnd]] = []
         self.samplers = 0
-        self.ends_after_all_knew = 0
-        self.innocents_refused = 0
+        self.crashes_after_all_up_to_date = 0
+        self.popular_refusals = 0
         self.rng = random.Random(0)
 
     def next_sampler(self) -> str:
-        """A sampler of its own for each end: samplers that end come back under new ids."""
+        """A new sampler id for each crash, as restarted samplers get new ids."""
         self.samplers += 1
         return f"sampler-{self.samplers}"
 
-    @rule(gateway=strategies.sampled_from(EVERYBODY))
+    @rule(gateway=strategies.sampled_from(GATEWAY_IDS))
     def poison_arrives(self, gateway: int) -> None:
-        """The poison request runs unless it is held; its sampler ends."""
+        """The poison request crashes its sampler unless it is quarantined."""
         view = self.views[gateway]
         if view.is_held(POISON):
             return
-        if self.book.is_held(POISON) and not self.reports and self.all_know():
-            self.ends_after_all_knew += 1
-        end = SamplerEnd(POISON, self.next_sampler())
-        view.ended(end)
-        self.reports.append((gateway, end))
-
-    @rule(gateway=strategies.sampled_from(EVERYBODY), beside=strategies.booleans())
-    def popular_arrives(self, gateway: int, beside: bool) -> None:
-        """A popular request is answered, or was on a sampler that ended by itself."""
+        if self.book.is_held(POISON) and not self.reports and self.all_up_to_date():
+            self.crashes_after_all_up_to_date += 1
+        crash = SamplerEnd(POISON, self.next_sampler())
+        view.record_crash(crash)
+        self.reports.append((gateway, crash))
+
+    @rule(gateway=strategies.sampled_from(GATEWAY_IDS), coincidental_crash=strategies.booleans())
+    def popular_arrives(self, gateway: int, coincidental_crash: bool) -> None:
+        """A popular request succeeds, perhaps after a coincidental crash of its sampler."""
         view = self.views[gateway]
         if view.is_held(POPULAR):
-            self.innocents_refused += 1
+            self.popular_refusals += 1
             return
-        if beside and len(view.ends_under(POPULAR)) < ENDS_ALONE - 1:
-            end = SamplerEnd(POPULAR, self.next_sampler())
-            view.ended(end)
-            self.reports.append((gateway, end))
-        if view.answered(POPULAR, self.now):
+        if coincidental_crash and len(view.ends_under(POPULAR)) < ENDS_ALONE - 1:
+            crash = SamplerEnd(POPULAR, self.next_sampler())
+            view.record_crash(crash)
+            self.reports.append((gateway, crash))
+        if view.record_success(POPULAR, self.now):
             self.reports = [item for item in self.reports if item[1].identity != POPULAR]
             self.book.clear([POPULAR])
 
     @precondition(lambda self: self.reports)
     @rule(times=strategies.integers(1, 2))
-    def report_reaches_the_ledger(self, times: int) -> None:
+    def report_is_recorded(self, times: int) -> None:
         """The oldest report is recorded, perhaps twice."""
-        gateway, end = self.reports.pop(0)
+        gateway, crash = self.reports.pop(0)
         for _ in range(times):
-            self.book.record([end], self.now)
-        self.views[gateway].reported([end], self.book.revision)
+            self.book.record([crash], self.now)
+        self.views[gateway].mark_reported([crash], self.book.revision)
 
     @rule(share=strategies.sampled_from([0.01, 0.5, 1.0]))
-    def lists_arrive(self, share: float) -> None:
-        """Some gateways hear the list; held requests with good answers there are cleared."""
+    def listings_arrive(self, share: float) -> None:
+        """Some gateways receive the listing and clear quarantined requests that succeeded there."""
         listing = self.book.listing(self.now)
-        for number in self.rng.sample(list(EVERYBODY), max(1, int(GATEWAYS * share))):
-            for identity in self.views[number].learn(listing, self.now):
+        for number in self.rng.sample(list(GATEWAY_IDS), max(1, int(GATEWAYS * share))):
+            for identity in self.views[number].apply_listing(listing, self.now):
                 self.book.clear([identity])
 
-    @rule(gateway=strategies.sampled_from(EVERYBODY))
+    @rule(gateway=strategies.sampled_from(GATEWAY_IDS))
     def gateway_restarts(self, gateway: int) -> None:
-        """It forgets all, and takes the list before it is ready."""
+        """A restarted gateway loses its state and applies the listing before it is ready."""
         self.reports = [item for item in self.reports if item[0] != gateway]
         self.views[gateway] = QuarantineView()
-        self.views[gateway].learn(self.book.listing(self.now), self.now)
+        self.views[gateway].apply_listing(self.book.listing(self.now), self.now)
 
-    def all_know(self) -> bool:
-        """Whether every gateway has the newest list."""
+    def all_up_to_date(self) -> bool:
+        """Whether every gateway has the latest listing."""
         return all(view.revision == self.book.revision for view in self.views.values())
 
     @invariant()
-    def nothing_ends_once_everybody_knows(self) -> None:
-        """The bound is the fleet's, whatever gateway it arrives at."""
-        assert self.ends_after_all_knew == 0
+    def no_crash_once_all_gateways_have_the_listing(self) -> None:
+        """No crash follows once every gateway has the listing, whichever gateway the request
+        arrives at."""
+        assert self.crashes_after_all_up_to_date == 0
 
     @invariant()
-    def no_gateway_ends_more_than_three_by_itself(self) -> None:
-        """Whatever the ledger does, a gateway's own ends hold the request there."""
+    def no_gateway_causes_more_than_three_crashes_by_itself(self) -> None:
+        """Local crashes alone quarantine the request at a gateway, also without the ledger."""
         own: dict[int, int] = {}
-        for gateway, end in self.reports:
-            if end.identity == POISON:
+        for gateway, crash in self.reports:
+            if crash.identity == POISON:
                 own[gateway] = own.get(gateway, 0) + 1
         assert all(count <= ENDS_ALONE for count in own.values())
 
     @invariant()
-    def nothing_popular_is_refused(self) -> None:
-        """One good answer clears."""
-        assert self.innocents_refused == 0
+    def popular_requests_are_not_refused(self) -> None:
+        """One successful response clears a request."""
+        assert self.popular_refusals == 0
 
 
 class FleetTest(testtools.TestCase):
-    """The machine, with the same examples in each run."""
+    """Runs the state machine with the same examples each time."""
 
     def test_the_bound_holds_for_three_hundred_gateways(self) -> None:
         hypothesis.stateful.run_state_machine_as_test(
--- a/tests/test_quarantine_guard.py
+++ b/tests/test_quarantine_guard.py
@@ -1,4 +1,4 @@
-"""What one arrival of a request may still do, and what a node reports. With a ledger by hand."""
+"""Attempts left to one arrival of a request, and reports to the ledger."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 from stileloom.events import LogEvent
 from stileloom.logging import EventLog, configure_logs
 from stileloom.quarantine import guard as guard_module
-from stileloom.quarantine.end_probe import ListenerSign
+from stileloom.quarantine.end_probe import ProbeResult
 from stileloom.quarantine.guard import BEGAN_LATELY_S, QuarantineGuard
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
 from stileloom.quarantine.metrics import QuarantineMetrics
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
-NAME = "identity"
+IDENTITY = "identity"
 
 
-class ByHand:
-    """A ledger that notes what it is told; out of reach while `away`."""
+class FakeLedger:
+    """Records reports; raises LEDGER_UNAVAILABLE while `unavailable`."""
 
     def __init__(self) -> None:
-        self.away = False
+        self.unavailable = False
         self.trials = 0
-        self.ends: list[SamplerEnd] = []
-        self.answered: list[str] = []
-
-    async def report(self, ends: list[SamplerEnd], answered: list[str]) -> int:
-        """Notes a report."""
-        self._reach()
-        self.ends += ends
-        self.answered += answered
+        self.crashes: list[SamplerEnd] = []
+        self.successes: list[str] = []
+
+    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+        """Records a report."""
+        self._check_available()
+        self.crashes += crashes
+        self.successes += succeeded
         return 1
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
-        """Never has news."""
+        """Never returns a listing."""
         await asyncio.sleep(wait_s)
         return None
 
     async def start_trial(self, identity: str) -> bool:
-        """Grants the first one."""
-        self._reach()
+        """Grants the first trial only."""
+        self._check_available()
         self.trials += 1
         return self.trials == 1
 
-    def _reach(self) -> None:
-        if self.away:
-            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "away")
+    def _check_available(self) -> None:
+        if self.unavailable:
+            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "unavailable")
 
 
-def ended_sampler(name: str) -> SamplerEntry:
-    """A sampler at whose address nobody listens."""
+def crashed_sampler(name: str) -> SamplerEntry:
+    """A sampler whose port nobody listens on."""
     return SamplerEntry(name, "s", (HOST, free_port()), "a", 4, False, {}, born_ms=7)
 
 
@@ -66,119 +66,121 @@
     def setUp(self) -> None:
         super().setUp()
         configure_logs("error")
-        self.ledger = ByHand()
+        self.ledger = FakeLedger()
         metrics = QuarantineMetrics(CollectorRegistry())
         self.guard = QuarantineGuard(self.ledger, EventLog("node"), metrics)
 
-    def listed(self, ends: int, held: bool, trial_in_s: float = 60.0) -> None:
-        """The fleet's list says so of the request."""
-        summary = SuspectSummary(NAME, [f"s{number}" for number in range(ends)], held, trial_in_s)
+    def apply_listing(self, crashes: int, quarantined: bool, trial_in_s: float = 60.0) -> None:
+        """Applies a listing with this state of the request."""
+        summary = SuspectSummary(
+            IDENTITY, [f"s{number}" for number in range(crashes)], quarantined, trial_in_s
+        )
         self.guard.learn(QuarantineListing(1, [summary]))
 
-    async def admitted(self) -> int | None:
-        """Attempts that an arrival has, or None where it is refused."""
+    async def admitted_attempts(self) -> int | None:
+        """Attempts of a new arrival, or None if it is refused."""
         try:
-            permit = await self.guard.admit("r", lambda: NAME)
+            permit = await self.guard.admit("r", lambda: IDENTITY)
         except StileloomError as error:
             self.assertEqual(ErrorKind.QUARANTINED, error.kind)
             return None
         return permit.attempts_left
 
-    def test_attempts_shrink_with_known_ends(self) -> None:
-        for ends, expected in ((0, 3), (2, 1)):
-            self.listed(ends, held=False)
-            self.assertEqual(expected, asyncio.run(self.admitted()))
-        self.listed(3, held=True)
-        self.assertIsNone(asyncio.run(self.admitted()))
+    def test_attempts_decrease_with_known_crashes(self) -> None:
+        for crashes, expected in ((0, 3), (2, 1)):
+            self.apply_listing(crashes, quarantined=False)
+            self.assertEqual(expected, asyncio.run(self.admitted_attempts()))
+        self.apply_listing(3, quarantined=True)
+        self.assertIsNone(asyncio.run(self.admitted_attempts()))
 
-    def test_a_request_whose_ends_others_share_still_has_one_attempt(self) -> None:
-        """It is not held, so it must run: it had no attempt left and was answered 502 unasked."""
-        self.listed(3, held=False)
-        self.assertEqual(1, asyncio.run(self.admitted()))
+    def test_a_request_whose_crashes_others_share_still_has_one_attempt(self) -> None:
+        """The request is not quarantined, so it must get an attempt, not a 502 at once."""
+        self.apply_listing(3, quarantined=False)
+        self.assertEqual(1, asyncio.run(self.admitted_attempts()))
 
-    def test_an_end_is_reported_and_uses_up_an_attempt(self) -> None:
+    def test_a_crash_is_reported_and_uses_up_an_attempt(self) -> None:
         async def scenario() -> None:
-            permit = await self.guard.admit("r", lambda: NAME)
+            permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
-            await permit.broke_off(ended_sampler("a"), now)
+            await permit.attempt_failed(crashed_sampler("a"), now)
             self.assertEqual(2, permit.attempts_left)
             self.assertTrue(permit.suspected)
-            while not self.ledger.ends:
+            while not self.ledger.crashes:
                 await asyncio.sleep(0.01)
-            self.assertEqual([SamplerEnd(NAME, "a/7")], self.ledger.ends)
+            self.assertEqual([SamplerEnd(IDENTITY, "a/7")], self.ledger.crashes)
 
         asyncio.run(scenario())
 
-    def test_a_fault_of_ours_while_an_end_is_judged_is_told(self) -> None:
-        async def fault(*arguments: object) -> ListenerSign:
+    def test_an_internal_error_in_a_probe_is_logged_and_counts_no_crash(self) -> None:
+        async def failing_probe(*arguments: object) -> ProbeResult:
             raise KeyError("fault")
 
         async def scenario() -> None:
-            told: list[LogEvent] = []
+            logged: list[LogEvent] = []
 
             def note(event: LogEvent, fields: dict[str, object]) -> None:
-                told.append(event)
+                logged.append(event)
 
-            permit = await self.guard.admit("r", lambda: NAME)
+            permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
             with (
-                mock.patch.object(guard_module, "probe_listener", fault),
+                mock.patch.object(guard_module, "probe_listener", failing_probe),
                 mock.patch.object(
-                    self.guard._log, "emit", lambda event, fields: told.append(event)
+                    self.guard._log, "emit", lambda event, fields: logged.append(event)
                 ),
             ):
-                await permit.broke_off(ended_sampler("a"), now)
+                await permit.attempt_failed(crashed_sampler("a"), now)
                 await asyncio.sleep(0)
-            self.assertEqual([LogEvent.INTERNAL_FAULT], told)
+            self.assertEqual([LogEvent.INTERNAL_FAULT], logged)
             self.assertEqual(3, permit.attempts_left)
 
         asyncio.run(scenario())
 
-    def test_an_end_long_after_the_begin_is_not_the_requests(self) -> None:
+    def test_a_crash_long_after_the_start_is_not_attributed_to_the_request(self) -> None:
         async def scenario() -> None:
-            permit = await self.guard.admit("r", lambda: NAME)
+            permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
-            await permit.broke_off(ended_sampler("a"), now - BEGAN_LATELY_S - 1.0)
+            await permit.attempt_failed(crashed_sampler("a"), now - BEGAN_LATELY_S - 1.0)
             self.assertEqual(3, permit.attempts_left)
 
         asyncio.run(scenario())
 
-    def test_ends_are_kept_until_the_ledger_is_back(self) -> None:
+    def test_crashes_are_kept_until_the_ledger_is_available(self) -> None:
         async def scenario() -> None:
-            self.ledger.away = True
+            self.ledger.unavailable = True
             for number in range(3):
-                permit = await self.guard.admit(f"r{number}", lambda: NAME)
+                permit = await self.guard.admit(f"r{number}", lambda: IDENTITY)
                 now = asyncio.get_running_loop().time()
-                await permit.broke_off(ended_sampler(f"s{number}"), now)
-            self.assertIsNone(await self.admitted())
-            self.ledger.away = False
-            while len(self.ledger.ends) < 3:
+                await permit.attempt_failed(crashed_sampler(f"s{number}"), now)
+            self.assertIsNone(await self.admitted_attempts())
+            self.ledger.unavailable = False
+            while len(self.ledger.crashes) < 3:
                 await asyncio.sleep(0.01)
 
         asyncio.run(scenario())
 
-    def test_one_trial_where_the_ledger_grants_it(self) -> None:
-        self.listed(3, held=True, trial_in_s=0.0)
-        self.assertEqual(1, asyncio.run(self.admitted()))
-        self.assertIsNone(asyncio.run(self.admitted()))
-        self.ledger.away = True
-        self.assertIsNone(asyncio.run(self.admitted()))
+    def test_a_trial_runs_only_if_the_ledger_grants_it(self) -> None:
+        self.apply_listing(3, quarantined=True, trial_in_s=0.0)
+        self.assertEqual(1, asyncio.run(self.admitted_attempts()))
+        self.assertIsNone(asyncio.run(self.admitted_attempts()))
+        self.ledger.unavailable = True
+        self.assertIsNone(asyncio.run(self.admitted_attempts()))
 
-    def test_a_good_answer_of_a_suspect_is_reported(self) -> None:
+    def test_a_successful_response_of_a_suspect_is_reported(self) -> None:
         async def scenario() -> None:
-            self.listed(2, held=False)
-            permit = await self.guard.admit("r", lambda: NAME)
-            permit.answered()
-            while not self.ledger.answered:
+            self.apply_listing(2, quarantined=False)
+            permit = await self.guard.admit("r", lambda: IDENTITY)
+            permit.succeeded()
+            while not self.ledger.successes:
                 await asyncio.sleep(0.01)
-            self.assertEqual([NAME], self.ledger.answered)
+            self.assertEqual([IDENTITY], self.ledger.successes)
 
         asyncio.run(scenario())
 
-    def test_a_good_answer_of_any_other_request_costs_no_message(self) -> None:
+    def test_a_successful_response_of_any_other_request_sends_no_message(self) -> None:
         async def scenario() -> None:
-            permit = await self.guard.admit("r", lambda: NAME)
-            permit.answered()
+            permit = await self.guard.admit("r", lambda: IDENTITY)
+            permit.succeeded()
             await asyncio.sleep(0)
             self.assertFalse(self.guard._reporting)
 
--- a/tests/test_request_identity.py
+++ b/tests/test_request_identity.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same request."""
+"""Request identities."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class RequestIdentityTest(testtools.TestCase):
-    """The identity stays when a caller sends a request again, and differs otherwise."""
+    """Retries have the same identity; other requests have another one."""
 
-    def test_another_request_id_deadline_or_case_of_a_header_changes_nothing(self) -> None:
+    def test_request_id_and_header_case_do_not_change_the_identity(self) -> None:
         first = identity_of("POST", "/a?b=1", [*HOST, ("Request-Id", "1")], b"x")
         again = identity_of(
             "post", "/a?b=1", [("Request-Id", "2"), ("host", "charts.example")], b"x"
         )
         self.assertEqual(first, again)
 
-    def test_method_host_target_body_and_credentials_tell_requests_apart(self) -> None:
+    def test_method_host_target_body_and_credentials_change_the_identity(self) -> None:
         identities = {
             identity_of("POST", "/a", HOST, b"x"),
             identity_of("GET", "/a", HOST, b"x"),
@@ -31,7 +31,7 @@
         }
         self.assertEqual(7, len(identities))
 
-    def test_parts_can_not_be_shifted_into_one_another(self) -> None:
+    def test_parts_are_delimited(self) -> None:
         self.assertNotEqual(
             identity_of("POST", "/ab", [], b"c"), identity_of("POST", "/a", [], b"bc")
         )
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes, the table of samplers, attempts of a lookup, the record of jobs. By hand."""
+"""Route table, sampler table, attempt plans and job registry. No I/O."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def route(name: str, prefix: str, *backends: Backend) -> Route:
-    """A safe route of host h."""
+    """An idempotent route of host h."""
     parts = list(backends) or [Backend(f"service-{name}", 1.0)]
     return Route(name, "h", prefix, RouteKind.SAFE, parts, 1.0, 0.2, 2)
 
@@ -38,7 +38,7 @@
 
 
 class RouteTableTest(testtools.TestCase):
-    """Match, weights, and no way back."""
+    """Matching, weights and monotonic versions."""
 
     def table(self, version: int, *routes: Route) -> RouteTable:
         """A table with one configuration."""
@@ -53,14 +53,14 @@
         self.assertEqual({"/a/x": "short", "/a/b/x": "long", "/a": None, "/c/": None}, found)
         self.assertIsNone(table.match("other", "/a/x"))
 
-    def test_an_older_configuration_is_never_put_in_force(self) -> None:
+    def test_an_older_configuration_is_never_activated(self) -> None:
         table = self.table(5, route("new", "/a/"))
         self.assertFalse(table.adopt(RouteConfiguration(4, [route("old", "/b/")], [])))
         self.assertFalse(table.adopt(RouteConfiguration(5, [], [])))
         self.assertIsNotNone(table.match("h", "/a/x"))
 
     @hypothesis.given(strategies.integers(1, 99), strategies.integers())
-    def test_shares_keep_close_to_the_weights(self, weight: int, seed: int) -> None:
+    def test_shares_are_close_to_the_weights(self, weight: int, seed: int) -> None:
         split = route("r", "/", Backend("x", weight), Backend("y", 100 - weight))
         table = RouteTable(random.Random(seed))
         chosen = [table.choose_backend(split) for _ in range(REQUESTS)]
@@ -68,75 +68,74 @@
 
 
 class SamplerTableTest(testtools.TestCase):
-    """Signs of leaving."""
+    """Indications that samplers leave, and restarts."""
 
-    def test_a_stated_leave_sticks(self) -> None:
+    def test_an_explicit_leave_is_final(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("a")])
         table.put(entry("a", draining=True))
         table.replace_all([entry("a")])
         self.assertEqual([], table.of_service("s"))
 
-    def test_an_entry_that_lapsed_may_come_back(self) -> None:
+    def test_an_expired_entry_may_be_listed_again(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("a")])
         self.assertEqual(["a"], table.replace_all([]))
         table.put(entry("a"))
         self.assertEqual(1, len(table.of_service("s")))
 
-    def test_a_sampler_that_left_and_was_born_again_under_its_id_is_listed(self) -> None:
-        """It drained, its entry went, and a process with the same id started: without its birth
-        in the table it stayed unlisted for good."""
+    def test_a_sampler_that_left_and_restarted_under_its_id_is_listed(self) -> None:
+        """Guards against excluding a restarted sampler because its id once left."""
         table = SamplerTable()
         table.replace_all([entry("a", born_ms=1000)])
-        self.assertEqual(SamplerChange.LEAVES, table.put(entry("a", draining=True, born_ms=1000)))
+        self.assertEqual(SamplerChange.DRAINING, table.put(entry("a", draining=True, born_ms=1000)))
         table.remove("a")
         self.assertEqual(SamplerChange.NONE, table.put(entry("a", born_ms=1000)))
         self.assertEqual([], table.of_service("s"))
-        self.assertEqual(SamplerChange.REBORN, table.put(entry("a", born_ms=2000)))
+        self.assertEqual(SamplerChange.RESTARTED, table.put(entry("a", born_ms=2000)))
         self.assertEqual(1, len(table.of_service("s")))
 
-    def test_a_newer_birth_starts_without_what_was_held_against_the_process_before(self) -> None:
+    def test_a_restart_clears_recorded_failures(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("a", born_ms=1000)])
         table.failed("a", 5.0)
         self.assertEqual(["a"], table.replace_all([entry("a", born_ms=2000)]))
-        belief = table.get("a")
-        assert belief is not None
-        self.assertEqual((0, 0.0), (belief.failures, belief.suspect_until))
+        tracked = table.get("a")
+        assert tracked is not None
+        self.assertEqual((0, 0.0), (tracked.failures, tracked.suspect_until))
 
-    def test_an_older_birth_that_arrives_late_changes_nothing(self) -> None:
+    def test_a_late_entry_of_an_earlier_start_is_ignored(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("a", born_ms=2000)])
         self.assertEqual(SamplerChange.NONE, table.put(entry("a", draining=True, born_ms=1000)))
         self.assertEqual(SamplerChange.NONE, table.put(entry("a", "elsewhere", born_ms=1000)))
-        belief = table.get("a")
-        assert belief is not None
-        self.assertEqual((2000, "a"), (belief.entry.born_ms, belief.entry.zone))
+        tracked = table.get("a")
+        assert tracked is not None
+        self.assertEqual((2000, "a"), (tracked.entry.born_ms, tracked.entry.zone))
 
 
 class AttemptPlanTest(testtools.TestCase):
-    """How often, and where."""
+    """Number and placement of attempts."""
 
     def plan(self, repeatable: bool) -> AttemptPlan:
         """A plan of two attempts."""
         return AttemptPlan("s", "a", repeatable, 2, 0.2, 0.0)
 
-    def test_what_may_have_run_is_not_sent_again_unless_repeatable(self) -> None:
+    def test_a_request_that_may_have_run_is_retried_only_if_repeatable(self) -> None:
         for repeatable in (True, False):
             plan = self.plan(repeatable)
             plan.started("x", 0.0)
             plan.ran()
             self.assertEqual(repeatable, plan.may_start())
 
-    def test_a_promise_frees_the_attempt(self) -> None:
+    def test_a_confirmed_refusal_allows_another_attempt(self) -> None:
         plan = self.plan(False)
         plan.started("x", 0.0)
         self.assertFalse(plan.may_start())
         plan.refused("x")
         self.assertTrue(plan.may_start())
 
-    def test_never_more_runs_than_attempts(self) -> None:
+    def test_runs_never_exceed_max_attempts(self) -> None:
         plan = self.plan(True)
         for name in ("x", "y"):
             plan.started(name, 0.0)
@@ -144,23 +143,23 @@
         plan.ran()
         self.assertFalse(plan.may_start())
 
-    def test_own_zone_first_and_suspects_last(self) -> None:
+    def test_own_zone_is_preferred_and_failed_samplers_come_last(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("far", "b"), entry("near", "a")])
         rng = random.Random(1)
-        chosen = self.plan(True).choose(table, 0.0, rng)
+        chosen = self.plan(True).select_sampler(table, 0.0, rng)
         assert chosen is not None
         self.assertEqual("near", chosen.entry.sampler_id)
         table.failed("near", 0.0)
-        chosen = self.plan(True).choose(table, SUSPECT_S / 2, rng)
+        chosen = self.plan(True).select_sampler(table, SUSPECT_S / 2, rng)
         assert chosen is not None
         self.assertEqual("far", chosen.entry.sampler_id)
 
 
 class PageTest(testtools.TestCase):
-    """Pages of results."""
+    """Result pages."""
 
-    def test_a_page_holds_at_least_one_result_and_stays_below_its_limit(self) -> None:
+    def test_a_page_has_at_least_one_result_and_respects_its_limit(self) -> None:
         book = JobBook()
         items = [JobItem(f"i{n}", "/p", {}, b"", "") for n in range(3)]
         book.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
@@ -174,9 +173,9 @@
 
 
 class SavedEventsTest(testtools.TestCase):
-    """Two leaders save events of one item; the later one did not know all of the earlier's."""
+    """Two leaders save events of one item, and the later one lacks some of the earlier one's."""
 
-    def test_the_later_leaders_events_replace_what_it_did_not_know(self) -> None:
+    def test_events_of_the_later_leader_replace_unknown_ones(self) -> None:
         book = JobBook()
         items = [JobItem("a", "/p", {}, b"", "")]
         book.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
@@ -188,9 +187,9 @@
 
 
 class JobBookMachine(stateful.RuleBasedStateMachine):
-    """The record of one job against a list that only grows.
+    """Model-based test of one job against an append-only list.
 
-    Leaders come and go: each saves and finishes from the events that it knows of.
+    Leaders change: each saves and finishes items from the events it knows.
     """
 
     ITEMS = ("a", "b", "c")
@@ -206,7 +205,7 @@
 
     @stateful.rule()
     def submit(self) -> None:
-        """A job is taken once, however often it is sent."""
+        """Submitting is idempotent."""
         self.book.submit(self.submission)
 
     @stateful.precondition(lambda self: "j" in self.book.jobs)
@@ -216,7 +215,7 @@
         parts=strategies.lists(strategies.text("xyz", min_size=1, max_size=2), max_size=3),
     )
     def save(self, name: str, keep: int, parts: list[str]) -> None:
-        """A leader saves events after those that it knows of."""
+        """A leader saves events after those that it knows."""
         if any(result.item_id == name for result in self.expected):
             return
         known = self.saved.get(name, [])[:keep]
@@ -232,7 +231,7 @@
         state=strategies.sampled_from(list(ItemState)),
     )
     def finish(self, name: str, keep: int, parts: list[str], state: ItemState) -> None:
-        """A leader lists a result; only the first one of an item of the job counts."""
+        """A leader lists a result; only the first result of an item counts."""
         known = self.saved.get(name, [])[:keep]
         self.book.record("j", [FinishedItem(name, state, len(known), parts, [1])])
         listed = any(result.item_id == name for result in self.expected)
@@ -243,12 +242,12 @@
     @stateful.precondition(lambda self: "j" in self.book.jobs)
     @stateful.rule()
     def end(self) -> None:
-        """An end holds for good."""
+        """Ending a job is final."""
         self.ended = self.book.end("j")
 
     @stateful.invariant()
     def positions_never_change(self) -> None:
-        """What was listed stays where and what it was."""
+        """Listed results keep their position and content."""
         if "j" not in self.book.jobs:
             return
         job = self.book.jobs["j"]
