--- a/stileloom/samplers/__init__.py
+++ b/stileloom/samplers/__init__.py
@@ -1,4 +1,4 @@
-"""Samplers: who owns which, their load, and the generations that run on them."""
+"""Samplers: ownership, load reports, and the generations that run on them."""
 
 from stileloom.samplers.owner import CommitWanted, SamplerOwner
 
--- a/stileloom/samplers/effects.py
+++ b/stileloom/samplers/effects.py
@@ -1,4 +1,4 @@
-"""What the parts that talk to engines ask their driver to do."""
+"""Effects requested by the components that talk to engines."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 class OpenStream(msgspec.Struct, frozen=True):
-    """Start a generation; answered by `stream_*` calls with the request's id."""
+    """Starts a generation; answered by `stream_*` calls with the request's id."""
 
     sampler_id: str
     request: GenerateRequest
 
 
 class CloseStream(msgspec.Struct, frozen=True):
-    """Cancel a generation, also at the engine; nothing more of it is wanted."""
+    """Cancels a generation, also at the engine; its further output is dropped."""
 
     sampler_id: str
     request_id: str
 
 
 class ConfirmNotRun(msgspec.Struct, frozen=True):
-    """Cancel a request by id and ask whether it ever began; answered by `cancel_confirmed`."""
+    """Cancels a request by id and queries whether it started; answered by `cancel_confirmed`."""
 
     sampler_id: str
     request_id: str
 
 
 class QueryLoad(msgspec.Struct, frozen=True):
-    """Read an engine's load; answered by `load_reported`."""
+    """Queries an engine's load; answered by `load_reported`."""
 
     sampler_id: str
 
 
 class SendOrder(msgspec.Struct, frozen=True):
-    """Pass a fenced order to an engine. Its effect is seen in the next load report."""
+    """Sends a fenced order to an engine. The next load report shows its effect."""
 
     sampler_id: str
     order: EngineOrder
--- a/stileloom/samplers/messages.py
+++ b/stileloom/samplers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the controller, the owners of samplers, and gateways."""
+"""Messages between the controller, sampler owners and gateways."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class GenerationKey(msgspec.Struct, frozen=True, array_like=True):
-    """Names one attempt to fill a slot."""
+    """Identifies one attempt to fill a slot."""
 
     round_name: str
     slot: int
     attempt: str
-    """`epoch.sequence` of the controller that started it: never used twice."""
+    """`epoch.sequence` of the controller that started it; never reused."""
 
 
 class PartialGeneration(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens that an earlier attempt produced and that still count."""
+    """Valid tokens of an earlier attempt."""
 
     tokens: list[int]
     segments: list[Segment]
 
 
 class StartGeneration(msgspec.Struct, frozen=True, tag=True):
-    """Controller to owner: generate for a slot on a sampler."""
+    """Controller to owner: start a generation for a slot on a sampler."""
 
     key: GenerationKey
     sampler_id: str
@@ -36,7 +36,7 @@
 
 
 class StopGeneration(msgspec.Struct, frozen=True, tag=True):
-    """Controller to owner: cancel, and send back what was generated."""
+    """Controller to owner: cancel a generation and return its tokens."""
 
     key: GenerationKey
 
@@ -48,11 +48,11 @@
     sampler_id: str
     partial: PartialGeneration
     failed: bool
-    """The sampler failed, as opposed to a stop that was asked for."""
+    """True if the sampler failed, false if a stop was requested."""
 
 
 class GenerationFinished(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller: the ledger has answered the attempt's sample."""
+    """Owner to controller: the ledger accepted or refused the attempt's sample."""
 
     key: GenerationKey
     sampler_id: str
@@ -61,14 +61,14 @@
 
 
 class OrderSampler(msgspec.Struct, frozen=True, tag=True):
-    """Controller to owner: pass on a fenced order."""
+    """Controller to owner: forward a fenced order."""
 
     sampler_id: str
     order: EngineOrder
 
 
 class RunningGeneration(msgspec.Struct, frozen=True, array_like=True):
-    """A generation under way at an owner."""
+    """A generation in progress at an owner."""
 
     key: GenerationKey
     sampler_id: str
@@ -77,18 +77,18 @@
 
 
 class LoadRow(LoadReport, frozen=True, array_like=True):
-    """A load report as it goes between nodes: without the names of its fields."""
+    """A load report in the compact encoding used between nodes, without field names."""
 
 
 class SamplerReport(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller and gateways: the newest load of its samplers."""
+    """Owner to controller and gateways: the latest load of its samplers."""
 
     loads: list[LoadRow]
     unreachable: list[str]
-    """Samplers that do not answer."""
+    """Samplers that are unresponsive."""
 
 
 class RunningReport(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller: every generation it runs, for adoption and loss detection."""
+    """Owner to controller: all its running generations, for adoption and loss detection."""
 
     running: list[RunningGeneration]
--- a/stileloom/samplers/owner.py
+++ b/stileloom/samplers/owner.py
@@ -1,8 +1,7 @@
-"""The owner of samplers: polls their load, runs generations on them, passes orders on.
+"""Owns samplers: polls their load, runs generations on them and forwards orders.
 
-Each sampler has one owner node by rendezvous hashing. Two nodes that disagree for a moment
-about who owns a sampler do no harm: orders are fenced, and the ledger takes one sample a
-slot.
+Each sampler has one owner node, assigned by rendezvous hashing. Two nodes that briefly disagree on
+the owner are harmless: orders are fenced, and the ledger accepts one sample per slot.
 """
 
 from __future__ import annotations
@@ -30,22 +29,22 @@
     StartGeneration,
     StopGeneration,
 )
-from stileloom.samplers.table import differs
+from stileloom.samplers.table import state_changed
 
-LOAD_SILENCE_S = 2.0
-"""A sampler that did not answer for this long is reported as unreachable."""
+UNRESPONSIVE_AFTER_S = 2.0
+"""A sampler without a response for this long is reported as unreachable."""
 RUNNING_REPORT_S = 2.0
 
 
 class CommitWanted(msgspec.Struct, frozen=True):
-    """Submit this to the ledger; answer with `committed(key, result)`."""
+    """Requests a ledger commit; answered by `committed(key, result)`."""
 
     key: GenerationKey
     command: CommitSample
 
 
 class _Generation(msgspec.Struct):
-    """A generation under way."""
+    """A generation in progress."""
 
     order: StartGeneration
     request_id: str
@@ -58,8 +57,8 @@
     return f"{key.round_name}/{key.slot}/{key.attempt}"
 
 
-def _commit_wanted(generation: _Generation) -> CommitWanted:
-    """Offers a finished generation to the ledger."""
+def _commit_request(generation: _Generation) -> CommitWanted:
+    """The commit request for a finished generation."""
     key = generation.order.key
     sample = Sample(
         key.slot,
@@ -72,17 +71,17 @@
 
 
 class _OwnedSampler(msgspec.Struct):
-    """What the owner knows of one of its samplers."""
+    """State of one owned sampler."""
 
     load: LoadReport | None = None
-    heard_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
     owned_since: float = float("-inf")
     next_poll_at: float = float("-inf")
     polling_since: float | None = None
 
 
 class SamplerOwner:
-    """The samplers that this node owns, and the generations that it runs."""
+    """Samplers owned by this node, and the generations it runs."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
@@ -91,31 +90,31 @@
         self._next_gateway_report_at = float("-inf")
         self._next_controller_report_at = float("-inf")
         self._next_running_report_at = float("-inf")
-        self._reported_to: str | None = None
+        self._controller: str | None = None
 
     @property
     def owned(self) -> list[str]:
-        """Ids of the samplers owned now."""
+        """Ids of the currently owned samplers."""
         return sorted(self._owned)
 
     @property
     def running_count(self) -> int:
-        """Generations under way."""
+        """Number of generations in progress."""
         return len(self._generations)
 
     def report_soon(self) -> None:
-        """Those who route to the samplers have changed: they know no load yet."""
+        """Reports to gateways at the next tick, since the set of gateways changed."""
         self._next_gateway_report_at = float("-inf")
 
     def set_owned(self, now: float, sampler_ids: set[str]) -> None:
-        """Takes the outcome of the hashing; generations under way are finished regardless."""
+        """Applies the assignment of samplers; generations in progress are completed regardless."""
         for sampler_id in sampler_ids - self._owned.keys():
             self._owned[sampler_id] = _OwnedSampler(owned_since=now)
         for sampler_id in self._owned.keys() - sampler_ids:
             del self._owned[sampler_id]
 
     def tick(self, now: float, leader: str | None, gateways: dict[str, list[str]]) -> list[Effect]:
-        """Polls and reports. `gateways` gives, by sampler, the nodes that route to it."""
+        """Polls samplers and sends reports; `gateways` lists the routing nodes by sampler."""
         effects: list[Effect] = []
         for sampler_id, owned in self._owned.items():
             if now >= owned.next_poll_at:
@@ -127,15 +126,15 @@
         if leader is not None and now >= self._next_controller_report_at:
             self._next_controller_report_at = now + constants.CONTROLLER_REPORT_S
             effects += self._report(now, {leader: set(self._owned)})
-        new_leader = leader is not None and leader != self._reported_to
+        new_leader = leader is not None and leader != self._controller
         if leader is not None and (now >= self._next_running_report_at or new_leader):
             self._next_running_report_at = now + RUNNING_REPORT_S
-            self._reported_to = leader
+            self._controller = leader
             effects.append(Send(leader, RunningReport(self.running())))
         return effects
 
     def running(self) -> list[RunningGeneration]:
-        """Every generation under way."""
+        """All generations in progress."""
         return [
             RunningGeneration(
                 generation.order.key,
@@ -147,25 +146,25 @@
         ]
 
     def load_reported(self, now: float, sampler_id: str, load: LoadReport | None) -> None:
-        """An engine answered a load query, or did not (None)."""
+        """Handles the reply to a load query; None if the engine did not respond."""
         owned = self._owned.get(sampler_id)
         if owned is None or load is None:
             return
-        if owned.load is not None and differs(owned.load, load):
-            # Others wait for this: a swap is done, or the sampler left its role.
+        if owned.load is not None and state_changed(owned.load, load):
+            # Swaps and role changes wait for this report.
             self._next_gateway_report_at = now
             self._next_controller_report_at = now
         owned.load = load
-        owned.heard_at = now
+        owned.last_contact_at = now
 
     def _report_to_gateways(self, now: float, gateways: dict[str, list[str]]) -> list[Effect]:
-        by_target: dict[str, set[str]] = {}
+        samplers_by_target: dict[str, set[str]] = {}
         for sampler_id in self._owned:
             for target in gateways.get(sampler_id, []):
-                by_target.setdefault(target, set()).add(sampler_id)
-        return self._report(now, by_target)
+                samplers_by_target.setdefault(target, set()).add(sampler_id)
+        return self._report(now, samplers_by_target)
 
-    def _report(self, now: float, by_target: dict[str, set[str]]) -> list[Effect]:
+    def _report(self, now: float, samplers_by_target: dict[str, set[str]]) -> list[Effect]:
         rows = {
             sampler_id: LoadRow(*msgspec.structs.astuple(owned.load))
             for sampler_id, owned in self._owned.items()
@@ -174,11 +173,11 @@
         unreachable = [
             sampler_id
             for sampler_id, owned in self._owned.items()
-            if now >= max(owned.heard_at, owned.owned_since) + LOAD_SILENCE_S
+            if now >= max(owned.last_contact_at, owned.owned_since) + UNRESPONSIVE_AFTER_S
         ]
         effects: list[Effect] = []
-        for target in sorted(by_target):
-            wanted = by_target[target]
+        for target in sorted(samplers_by_target):
+            wanted = samplers_by_target[target]
             report = SamplerReport(
                 [row for sampler_id, row in rows.items() if sampler_id in wanted],
                 [sampler_id for sampler_id in unreachable if sampler_id in wanted],
@@ -190,7 +189,7 @@
     # Orders and generations.
 
     def handle(self, now: float, sender: str, message: object) -> list[Effect]:
-        """Takes one message of the controller."""
+        """Handles a message from the controller."""
         if isinstance(message, OrderSampler):
             return [SendOrder(message.sampler_id, message.order)]
         if isinstance(message, StartGeneration):
@@ -229,18 +228,19 @@
         return [close, *self._interrupt(request_id, failed=False)]
 
     def hand_over(self) -> list[Effect]:
-        """Gives every generation back with its tokens, to go on at another owner."""
+        """Stops all generations and returns their tokens, to be continued at another owner."""
         effects: list[Effect] = []
         for generation in list(self._generations.values()):
             effects += self._stop(generation.order.key)
         return effects
 
     def owns_stream(self, request_id: str) -> bool:
-        """Whether a stream belongs to a generation of this part."""
+        """Whether a stream belongs to a generation of this owner."""
         return request_id in self._generations
 
     def stream_chunk(self, request_id: str, chunk: StreamChunk) -> list[Effect]:
-        """Tokens arrived. A gap, or an unknown version, ends the attempt at what counts."""
+        """Appends tokens. A gap or an unknown version interrupts the attempt with the tokens before
+        it."""
         generation = self._generations.get(request_id)
         if generation is None or generation.committing:
             return []
@@ -255,18 +255,18 @@
         return []
 
     def stream_end(self, request_id: str, end: StreamEnd) -> list[Effect]:
-        """The counted last frame arrived: offers the sample to the ledger."""
+        """Handles the final frame: commits the sample if its token count matches."""
         generation = self._generations.get(request_id)
         if generation is None or generation.committing:
             return []
-        whole = end.token_count == len(generation.tokens) and end.finish_reason != "cancelled"
-        if not whole:
+        complete = end.token_count == len(generation.tokens) and end.finish_reason != "cancelled"
+        if not complete:
             return self._interrupt(request_id, failed=True)
         generation.committing = True
-        return [_commit_wanted(generation)]
+        return [_commit_request(generation)]
 
     def stream_failed(self, request_id: str) -> list[Effect]:
-        """The stream was refused, cut or lost."""
+        """Handles a stream that was refused, aborted or lost."""
         generation = self._generations.get(request_id)
         if generation is None or generation.committing:
             return []
@@ -275,13 +275,13 @@
     def committed(
         self, now: float, key: GenerationKey, result: CommandResult | None
     ) -> list[Effect]:
-        """The ledger answered; None means that it did not in time, so it is asked again."""
+        """Handles the ledger's result; None means a timeout, after which the commit is retried."""
         request_id = _request_id(key)
         generation = self._generations.get(request_id)
         if generation is None:
             return []
         if result is None:
-            return [_commit_wanted(generation)]
+            return [_commit_request(generation)]
         del self._generations[request_id]
         finished = GenerationFinished(
             key,
@@ -289,7 +289,7 @@
             len(generation.tokens),
             accepted=isinstance(result, Done) and not result.duplicate,
         )
-        effects = self._tell_controller(finished)
+        effects = self._notify_controller(finished)
         if isinstance(result, SampleRefused):
             fields: dict[str, object] = {
                 "round": key.round_name,
@@ -304,8 +304,10 @@
         partial = PartialGeneration(generation.tokens, generation.segments)
         order = generation.order
         interrupted = GenerationInterrupted(order.key, order.sampler_id, partial, failed)
-        return self._tell_controller(interrupted)
+        return self._notify_controller(interrupted)
 
-    def _tell_controller(self, message: GenerationFinished | GenerationInterrupted) -> list[Effect]:
-        """To whoever leads now. If it is lost, the next running report shows the loss."""
-        return [Send(self._reported_to, message)] if self._reported_to is not None else []
+    def _notify_controller(
+        self, message: GenerationFinished | GenerationInterrupted
+    ) -> list[Effect]:
+        """Sends to the current leader; a lost message is detected by the next running report."""
+        return [Send(self._controller, message)] if self._controller is not None else []
--- a/stileloom/samplers/table.py
+++ b/stileloom/samplers/table.py
@@ -1,4 +1,4 @@
-"""What a node knows of all samplers: the machine list joined with load reports and drains."""
+"""A node's view of all samplers: the machine list joined with load reports and drains."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SamplerView(msgspec.Struct):
-    """One sampler as this node sees it."""
+    """One sampler as seen by this node."""
 
     machine: Machine
     load: LoadReport | None = None
@@ -23,16 +23,16 @@
 
     @property
     def sampler_id(self) -> str:
-        """The sampler's id."""
         return self.machine.sampler_id
 
     @property
     def running(self) -> int:
-        """Generations running or waiting on the engine, by its last report."""
+        """Generations running or queued on the engine, by its latest report."""
         return self.load.running + self.load.waiting if self.load is not None else 0
 
     def usable(self, now: float) -> bool:
-        """Whether it may be given work: heard of lately, not leaving, version known."""
+        """Whether it may be assigned work: recently reported, not leaving, and serving a known
+        version."""
         if self.leaving or self.unreachable or self.load is None:
             return False
         if now > self.heard_at + constants.SAMPLER_REPORT_STALE_S:
@@ -41,30 +41,28 @@
 
 
 class SamplerTable:
-    """All samplers by id. The earliest sign of leaving wins and sticks."""
+    """All samplers by id. The first indication of leaving is final."""
 
     def __init__(self) -> None:
         self._views: dict[str, SamplerView] = {}
         self._by_pool: dict[str, dict[str, SamplerView]] = {}
         self.changes = 0
-        """Raised whenever a sampler's state, role, model or version changes, or it is silent."""
+        """Incremented when a sampler's state, role, model, version or reachability changes."""
         self.version = 0
-        """Raised whenever the set of samplers, or who is leaving, changes."""
+        """Incremented when the set of samplers or of leaving samplers changes."""
 
     def get(self, sampler_id: str) -> SamplerView | None:
         """One sampler, or None."""
         return self._views.get(sampler_id)
 
     def views(self) -> list[SamplerView]:
-        """All samplers."""
         return list(self._views.values())
 
     def in_pool(self, pool: str) -> list[SamplerView]:
-        """The samplers of a pool."""
         return list(self._by_pool.get(pool, {}).values())
 
     def set_machines(self, machines: list[Machine]) -> list[Effect]:
-        """Takes a new machine list. A sampler that went and came back is a new one."""
+        """Applies a machine list. A sampler that was removed and listed again is a new one."""
         effects: list[Effect] = []
         listed = {machine.sampler_id: machine for machine in machines}
         for sampler_id in self._views.keys() - listed.keys():
@@ -85,13 +83,13 @@
         return effects
 
     def on_report(self, now: float, report: SamplerReport) -> list[Effect]:
-        """Takes an owner's report."""
+        """Applies an owner's report."""
         effects: list[Effect] = []
         for load in report.loads:
             view = self._views.get(load.sampler_id)
             if view is None:
                 continue
-            if view.load is None or differs(view.load, load) or view.unreachable:
+            if view.load is None or state_changed(view.load, load) or view.unreachable:
                 self.changes += 1
             effects += _version_events(view.load, load)
             view.load = load
@@ -107,7 +105,7 @@
         return effects
 
     def mark_leaving(self, sampler_id: str) -> list[Effect]:
-        """No new work from now on, whatever is heard later."""
+        """Excludes a sampler from new work, regardless of later reports."""
         view = self._views.get(sampler_id)
         if view is None or view.leaving:
             return []
@@ -117,8 +115,8 @@
         return [Emit(LogEvent.SAMPLER_LEAVING, {"sampler": sampler_id})]
 
 
-def differs(before: LoadReport, after: LoadReport) -> bool:
-    """Whether a report says more than that the load is another."""
+def state_changed(before: LoadReport, after: LoadReport) -> bool:
+    """Whether anything other than the load changed."""
     return (before.state, before.role, before.model, before.weight_version) != (
         after.state,
         after.role,
