--- a/stileloom/proxy/attempt_plan.py
+++ b/stileloom/proxy/attempt_plan.py
@@ -32,7 +32,7 @@
     refused_by: set[str] = msgspec.field(default_factory=set)
     tried: set[str] = msgspec.field(default_factory=set)
     unreachable: set[str] = msgspec.field(default_factory=set)
-    """Samplers that refused a connection. They are not tried again for this lookup."""
+    """Samplers to which no connection could be opened; not tried again for this lookup."""
     full: bool = False
     """Whether a sampler reported that it is full."""
 
