--- a/stileloom/ledger/electorate.py
+++ b/stileloom/ledger/electorate.py
@@ -1,11 +1,11 @@
-"""Whose agreement decides elections and commits.
+"""Quorum rules for elections and commits.
 
-Usually that is a majority of the voter set. Of two voters both must agree, so what was committed
-stands on either disk; once one disk is proved lost the other decides alone, since nobody else
-ever can. It must know that the set of two is committed; until then the set before it might
-still decide something, and a majority of that set has to agree as well.
+The quorum is usually a majority of the voter set. With two voters both must agree, so each disk
+holds every committed entry. Once one of the two disks is proved lost, the other voter decides
+alone. It must know that the set of two is committed; until then the previous set could still
+form a quorum, so a majority of the previous set is required as well.
 
-`tests/two_voter_spec.py` is the specification.
+The specification is `tests/two_voter_spec.py`.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 
 
 class Electorate:
-    """The sets of which each needs a majority."""
+    """Voter sets; a quorum needs a majority of each."""
 
     def __init__(self, sets: list[list[Voter]]) -> None:
         self._sets = sets
 
     @property
     def members(self) -> list[Voter]:
-        """All voters of these sets, once each."""
+        """All voters of these sets, without duplicates."""
         return list(dict.fromkeys(voter for voters in self._sets for voter in voters))
 
-    def agrees(self, votes: set[Voter]) -> bool:
-        """Whether each set has a majority among these votes."""
+    def has_quorum(self, votes: set[Voter]) -> bool:
+        """Whether the votes include a majority of each set."""
         return all(2 * len(votes.intersection(voters)) > len(voters) for voters in self._sets)
 
-    def agreed_index(self, durable_index: Callable[[Voter], int]) -> int:
-        """The highest index that a majority of each set holds on disk."""
+    def quorum_index(self, durable_index: Callable[[Voter], int]) -> int:
+        """The highest index that is durable on a majority of each set."""
         return min(_majority_index(map(durable_index, voters)) for voters in self._sets)
 
-    def lease_end(self, expires_at: Callable[[list[str]], float]) -> float:
-        """When the lease ends that a majority of each set confirmed."""
+    def lease_expires_at(self, expires_at: Callable[[list[str]], float]) -> float:
+        """When the lease confirmed by a majority of each set expires."""
         return min(expires_at([voter.node_id for voter in voters]) for voters in self._sets)
 
 
@@ -48,8 +48,8 @@
     return ordered[len(ordered) // 2]
 
 
-def electorate(log: LedgerLog, commit_index: int, lost_disks: set[Voter]) -> Electorate:
-    """Who decides, by this log and with these disks proved lost."""
+def current_electorate(log: LedgerLog, commit_index: int, lost_disks: set[Voter]) -> Electorate:
+    """The electorate for this log, given the voters whose disks are proved lost."""
     voters = log.voters
     remaining = [voter for voter in voters if voter not in lost_disks]
     if len(voters) != 2 or len(remaining) != 1:
@@ -59,28 +59,28 @@
     return Electorate([remaining, log.voters_before_change])
 
 
-class DiskProofs:
-    """Which voters' disks are proved lost: their node runs now and has another disk.
+class LostDiskDetector:
+    """Detects voters whose node is running with a different disk.
 
-    A greeting alone proves nothing, since it may come late, from a life before the voter's. So
-    the node is asked who it is, with a number drawn for this voter; its answer is a proof.
+    An unsolicited hello is no proof: it may be a delayed message from before the voter's disk was
+    in use. The node is therefore challenged with a random nonce and must return it.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self.lost: set[Voter] = set()
+        self.lost_disks: set[Voter] = set()
         self._rng = rng
-        self._questions: dict[Voter, int] = {}
+        self._nonces: dict[Voter, int] = {}
 
-    def greeted(self, voter: Voter, answer_to: int) -> int | None:
-        """A node says that it is not this voter of its name, but has another disk.
+    def handle_hello(self, voter: Voter, answer_to: int) -> int | None:
+        """Handles a hello from the voter's node that names another disk.
 
-        Returns the number to ask it with, or None where it is proved.
+        Returns the nonce for a challenge, or None if the voter's disk is proved lost.
         """
-        if voter in self.lost:
+        if voter in self.lost_disks:
             return None
-        if answer_to and answer_to == self._questions.get(voter):
-            self.lost.add(voter)
+        if answer_to and answer_to == self._nonces.get(voter):
+            self.lost_disks.add(voter)
             return None
-        if voter not in self._questions:
-            self._questions[voter] = self._rng.getrandbits(NONCE_BITS) + 1
-        return self._questions[voter]
+        if voter not in self._nonces:
+            self._nonces[voter] = self._rng.getrandbits(NONCE_BITS) + 1
+        return self._nonces[voter]
--- a/stileloom/ledger/progress.py
+++ b/stileloom/ledger/progress.py
@@ -1,4 +1,4 @@
-"""What the leader knows of a follower or learner, and how it feeds it."""
+"""Replication progress of followers and learners, as tracked by the leader."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class FollowerState(enum.Enum):
-    """How the leader feeds a follower (as in etcd's raft: probe, replicate, snapshot)."""
+    """Replication mode of a follower (as in etcd's raft: probe, replicate, snapshot)."""
 
     REPLICATE = "replicate"
-    """Entries go out as they come, without waiting for answers."""
+    """Entries are pipelined without waiting for replies."""
     PROBE = "probe"
-    """Where the logs meet is not known: one empty request at a time looks for it."""
+    """The last common entry is unknown; one empty request at a time searches for it."""
     SNAPSHOT = "snapshot"
-    """A snapshot is on its way; nothing else but heartbeats goes out."""
+    """A snapshot is in transit; only heartbeats are sent."""
 
 
 class FollowerProgress(msgspec.Struct):
-    """What the leader knows of a follower or learner."""
+    """Replication progress of one follower or learner."""
 
     next_index: int
     match_index: int = 0
     state: FollowerState = FollowerState.REPLICATE
-    awaited_nonce: int = 0
-    """Only the answer to this request ends a probe or a snapshot."""
+    expected_nonce: int = 0
+    """Only the reply with this nonce ends the probe or snapshot mode."""
     snapshot_sent_at: float = float("-inf")
-    silent: bool = False
-    """Whether it was told that this follower does not answer."""
-    last_heard_at: float = float("-inf")
+    unresponsive: bool = False
+    """Whether the follower was logged as unresponsive."""
+    last_contact_at: float = float("-inf")
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -1,11 +1,11 @@
-"""A replica of the ledger: Raft with asynchronous writes, leases and disk identities.
+"""A replica of the ledger: Raft with asynchronous writes, leader leases and disk identities.
 
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014),
-with pre-vote and leader stickiness (dissertation, sections 9.6 and 4.2.3). Terms are called
-epochs here, because they are the epochs of the fencing tokens. Two things differ from the
-paper: a reply that vouches for something on disk is held back until that write is durable,
-and a vote counts only with the disk identity that stands in the voter set, so a node that
-lost its disk can not vote with amnesia.
+with pre-vote and leader stickiness (dissertation, sections 9.6 and 4.2.3). Raft terms are
+called epochs because they are the epochs of the fencing tokens. Differences from the paper:
+a reply that depends on persisted state is deferred until that write is durable, and a vote
+counts only if its disk identity is in the voter set, so a node that lost its disk cannot vote
+without the state it had persisted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from stileloom.lease import LeaderLease
 from stileloom.ledger.commands import ChangeVoters, Command, StartEpoch, Voter
 from stileloom.ledger.effects import Applied, Dropped, Persist
-from stileloom.ledger.electorate import DiskProofs, Electorate, electorate
+from stileloom.ledger.electorate import Electorate, LostDiskDetector, current_electorate
 from stileloom.ledger.log import LedgerLog
 from stileloom.ledger.messages import (
     AppendReply,
@@ -45,7 +45,7 @@
 
 
 class ReplicaRole(enum.Enum):
-    """What a replica is at the moment."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -53,7 +53,7 @@
 
 
 class LedgerReplica:
-    """One replica. All calls take the monotonic time in seconds."""
+    """One replica, without I/O. `now` is monotonic time in seconds."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self.epoch = recovered.hard_state.epoch
         self.leader: str | None = None
         self.unavailable: set[str] = set()
-        self._proofs = DiskProofs(rng)
+        self._lost_disk_detector = LostDiskDetector(rng)
         self._voted_for = recovered.hard_state.voted_for
         self._log = LedgerLog(without_state(recovered.snapshot), recovered.entries)
         self._rng = rng
@@ -86,24 +86,24 @@
         self._leader_since = now
         self._tickets: dict[int, object] = {}
         self._votes: set[Voter] = set()
-        self._trial = False
+        self._in_pre_vote = False
         self._nonce = 0
         self._write_id = 0
         self._durable_write_id = 0
-        self._written_index: dict[int, int] = {}
-        self._held: list[tuple[int, Effect]] = []
+        self._last_index_by_write: dict[int, int] = {}
+        self._deferred_effects: list[tuple[int, Effect]] = []
         self._next_heartbeat_at = now
-        # A restarted voter may have answered a leader just before: it waits out that lease.
-        self._heard_from_leader_at = now
-        self._leader_before = (
+        # A restarted voter may have confirmed a lease just before, so it lets that lease expire.
+        self._last_leader_contact_at = now
+        self._previous_leader = (
             last_leader(recovered, self.state) if switches.restart_head_start else ""
         )
-        """Who led when this process ended, if its disk is sure of that; else empty."""
+        """Leader before the restart; empty if the disk does not identify it reliably."""
         self._restarted_at = now
         self._election_due_at = now + self._election_timeout(now)
         self._next_hello_at = now
 
-    # Reading.
+    # Queries.
 
     @property
     def voters(self) -> list[Voter]:
@@ -112,17 +112,17 @@
 
     @property
     def commit_index(self) -> int:
-        """Entries up to here are committed."""
+        """Index of the last committed entry."""
         return self._commit_index
 
     @property
     def log_length(self) -> int:
-        """Entries held after the last snapshot."""
+        """Number of entries after the last snapshot."""
         return len(self._log)
 
     @property
     def follower_lag(self) -> int:
-        """Entries that the slowest voter among the followers lacks; 0 where not the leader."""
+        """Entries that the slowest voting follower lacks; 0 if this replica is not the leader."""
         if self.role is not ReplicaRole.LEADER:
             return 0
         others = [voter for voter in self.voters if voter != self.me]
@@ -130,11 +130,11 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica, with this disk, may vote."""
+        """Whether this replica, with its current disk, is in the voter set."""
         return self.me in self.voters
 
     def may_act(self, now: float) -> bool:
-        """Whether this replica leads, holds its lease and has applied its own epoch's start."""
+        """Whether this replica leads, holds its lease and has applied an entry of its epoch."""
         if self.role is not ReplicaRole.LEADER:
             return False
         if self._log.epoch_at(self._applied_index) != self.epoch:
@@ -142,32 +142,32 @@
         return now < self.lease_expires_at(now)
 
     def hears_leader(self, now: float) -> bool:
-        """Whether this replica, outside the voter set, was told lately who leads."""
+        """Whether a known leader has contacted this replica recently."""
         return self.leader is not None and now < (
-            self._heard_from_leader_at + constants.LEADER_HEARD_S
+            self._last_leader_contact_at + constants.LEADER_HEARD_S
         )
 
     def lease_expires_at(self, now: float) -> float:
-        """When the leader's lease ends if no more confirmations come."""
-        return self._electorate().lease_end(
+        """When the leader's lease expires unless it is confirmed again."""
+        return self._electorate().lease_expires_at(
             lambda names: self._lease.expires_at(self.me.node_id, names, now)
         )
 
-    # Driving.
+    # Entry points.
 
     def tick(self, now: float) -> list[Effect]:
-        """Runs elections, heartbeats and changes of the voter set."""
-        if self.role is ReplicaRole.LEADER and self._leads_from_outside(now):
+        """Runs elections, heartbeats and voter set changes that are due."""
+        if self.role is ReplicaRole.LEADER and self._is_removed_leader(now):
             return self.hand_over(now)
         if self.role is ReplicaRole.LEADER:
-            effects = self._feed_standbys(now) + self._change_voters(now)
+            effects = self._replicate_to_standbys(now) + self._change_voters(now)
             if now >= self._next_heartbeat_at:
                 self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_S
                 effects += self._replicate(now, heartbeat=True)
             return effects
-        effects = [] if self.is_voter else self._say_hello(now)
-        if self._campaigns and now >= self._election_due_at:
-            effects += self._start_election(now, trial=True)
+        effects = [] if self.is_voter else self._send_hello(now)
+        if self._may_campaign and now >= self._election_due_at:
+            effects += self._start_election(now, pre_vote=True)
         return effects
 
     def propose(self, now: float, command: Command, ticket: object) -> list[Effect]:
@@ -180,19 +180,21 @@
         return effects + self._replicate(now, heartbeat=False)
 
     def persisted(self, now: float, write_id: int) -> list[Effect]:
-        """The driver made the write durable, and all before it."""
+        """Called by the driver once this write and all earlier ones are durable."""
         self._durable_write_id = max(self._durable_write_id, write_id)
-        for pending in sorted(self._written_index):
+        for pending in sorted(self._last_index_by_write):
             if pending <= write_id:
-                self._durable_index = self._written_index.pop(pending)
-        released = [effect for due, effect in self._held if due <= write_id]
-        self._held = [(due, effect) for due, effect in self._held if due > write_id]
+                self._durable_index = self._last_index_by_write.pop(pending)
+        released = [effect for due, effect in self._deferred_effects if due <= write_id]
+        self._deferred_effects = [
+            (due, effect) for due, effect in self._deferred_effects if due > write_id
+        ]
         if self.role is ReplicaRole.LEADER:
             released += self._advance_commit(now)
         return released
 
     def handle(self, now: float, sender: str, message: object) -> list[Effect]:
-        """Takes one message of the ledger protocol."""
+        """Handles one message of the ledger protocol."""
         if isinstance(message, VoteRequest):
             return self._on_vote_request(now, message)
         if isinstance(message, VoteReply):
@@ -212,7 +214,7 @@
         return []
 
     def hand_over(self, now: float) -> list[Effect]:
-        """Gives leadership to the most advanced follower; this replica must not act any more.
+        """Steps down and transfers leadership to the most up-to-date follower.
 
         Source: Ongaro's dissertation, section 3.10.
         """
@@ -226,43 +228,45 @@
     def _on_hand_over(self, now: float, sender: str, message: HandOver) -> list[Effect]:
         if message.epoch != self.epoch or sender != self.leader or not self.is_voter:
             return []
-        return self._start_election(now, trial=False, handed_over=True)
+        return self._start_election(now, pre_vote=False, handed_over=True)
 
     # Elections.
 
     def _election_timeout(self, now: float) -> float:
-        """Time until this replica asks for votes.
+        """Time until this replica starts an election.
 
-        After a restart of all, the node that led last comes first: it may give orders at once,
-        and there is no lease of another leader that voters would have to wait out.
+        After a restart of all nodes the previous leader campaigns first: no other node can hold
+        a lease, so it may send orders immediately.
         """
-        if self._leader_before and now < self._restarted_at + constants.RESTART_S:
-            if self._leader_before == self.me.node_id:
+        if self._previous_leader and now < self._restarted_at + constants.RESTART_S:
+            if self._previous_leader == self.me.node_id:
                 return constants.RESTART_RETRY_S
             return self._rng.uniform(
                 constants.RESTART_ELECTION_MIN_S, constants.RESTART_ELECTION_MAX_S
             )
         return self._rng.uniform(constants.ELECTION_TIMEOUT_MIN_S, constants.ELECTION_TIMEOUT_MAX_S)
 
-    def _start_election(self, now: float, trial: bool, handed_over: bool = False) -> list[Effect]:
+    def _start_election(
+        self, now: float, pre_vote: bool, handed_over: bool = False
+    ) -> list[Effect]:
         self._election_due_at = now + self._election_timeout(now)
-        self._trial = trial
+        self._in_pre_vote = pre_vote
         self._votes = {self.me}
         effects: list[Effect] = []
-        asked_epoch = self.epoch + 1
-        if not trial:
+        requested_epoch = self.epoch + 1
+        if not pre_vote:
             self.role = ReplicaRole.CANDIDATE
             self.leader = None
-            self.epoch = asked_epoch
+            self.epoch = requested_epoch
             self._voted_for = self.me
             effects += self._persist_hard_state()
             effects.append(Emit(LogEvent.ELECTION_STARTED, {"epoch": self.epoch}))
         request = VoteRequest(
-            asked_epoch,
+            requested_epoch,
             self.me,
             self._log.last_index,
             self._log.last_epoch,
-            trial,
+            pre_vote,
             handed_over,
         )
         effects += self._when_durable(
@@ -275,12 +279,12 @@
         return effects + self._count_votes(now)
 
     def _on_vote_request(self, now: float, message: VoteRequest) -> list[Effect]:
-        sticky = now < self._heard_from_leader_at + constants.ELECTION_TIMEOUT_MIN_S
-        if message.candidate.node_id == self._leader_before:
-            # The lease that this restarted voter may have confirmed was the candidate's own.
+        sticky = now < self._last_leader_contact_at + constants.ELECTION_TIMEOUT_MIN_S
+        if message.candidate.node_id == self._previous_leader:
+            # Any lease that this voter confirmed before its restart is the candidate's own.
             sticky = False
         leading = self.role is ReplicaRole.LEADER and now < self.lease_expires_at(now)
-        if ((sticky or leading) and not message.handed_over) or not self._gives_votes:
+        if ((sticky or leading) and not message.handed_over) or not self._grants_votes:
             return []
         effects: list[Effect] = []
         if message.epoch > self.epoch and not message.trial:
@@ -305,25 +309,25 @@
         return effects + self._when_durable([Send(message.candidate.node_id, reply)])
 
     def _on_vote_reply(self, now: float, message: VoteReply) -> list[Effect]:
-        asked_epoch = self.epoch + 1 if message.trial else self.epoch
-        if not message.granted or message.epoch != asked_epoch:
+        requested_epoch = self.epoch + 1 if message.trial else self.epoch
+        if not message.granted or message.epoch != requested_epoch:
             return []
-        waiting = self._trial if message.trial else self.role is ReplicaRole.CANDIDATE
-        if not waiting or message.trial != self._trial:
+        campaigning = self._in_pre_vote if message.trial else self.role is ReplicaRole.CANDIDATE
+        if not campaigning or message.trial != self._in_pre_vote:
             return []
         self._votes.add(message.voter)
         return self._count_votes(now)
 
     def _count_votes(self, now: float) -> list[Effect]:
-        if not self._electorate().agrees(self._votes):
+        if not self._electorate().has_quorum(self._votes):
             return []
-        if self._trial:
-            return self._start_election(now, trial=False)
+        if self._in_pre_vote:
+            return self._start_election(now, pre_vote=False)
         return self._become_leader(now)
 
     def _become_leader(self, now: float) -> list[Effect]:
         self.role = ReplicaRole.LEADER
-        self._leader_before = ""
+        self._previous_leader = ""
         self._leader_since = now
         self.leader = self.me.node_id
         self._lease.clear()
@@ -346,7 +350,7 @@
             self._tickets.clear()
             self._lease.clear()
         self.role = ReplicaRole.FOLLOWER
-        self._trial = False
+        self._in_pre_vote = False
         if epoch > self.epoch:
             self.epoch = epoch
             self._voted_for = None
@@ -360,13 +364,13 @@
     def _replicate(self, now: float, heartbeat: bool) -> list[Effect]:
         effects: list[Effect] = []
         for follower, progress in self._progress.items():
-            silent = now >= progress.last_heard_at + constants.FOLLOWER_SILENT_S
-            if silent and progress.state is FollowerState.REPLICATE:
-                # What is sent to a follower that does not answer only piles up.
+            unresponsive = now >= progress.last_contact_at + constants.FOLLOWER_SILENT_S
+            if unresponsive and progress.state is FollowerState.REPLICATE:
+                # Entries for an unresponsive follower would only accumulate in send buffers.
                 progress.state = FollowerState.PROBE
                 progress.next_index = min(progress.next_index, self._log.last_index + 1)
-                if progress.last_heard_at > float("-inf"):
-                    progress.silent = True
+                if progress.last_contact_at > float("-inf"):
+                    progress.unresponsive = True
                     fields: dict[str, object] = {"follower": follower.node_id, "epoch": self.epoch}
                     effects.append(Emit(LogEvent.FOLLOWER_SILENT, fields))
             if progress.state is FollowerState.REPLICATE:
@@ -377,7 +381,7 @@
         return effects
 
     def _send_probe(self, now: float, follower: Voter, progress: FollowerProgress) -> list[Effect]:
-        """One empty request; or the snapshot, where the log no longer reaches back so far."""
+        """Sends an empty request, or a snapshot if the log is compacted past that index."""
         snapshot_due = now >= progress.snapshot_sent_at + constants.SNAPSHOT_RETRY_S
         if progress.state is FollowerState.SNAPSHOT and not snapshot_due:
             return self._send_request(now, follower, self._log.base_index, [])
@@ -386,7 +390,7 @@
             return self._send_snapshot(now, follower, progress)
         progress.state = FollowerState.PROBE
         effects = self._send_request(now, follower, previous, [])
-        progress.awaited_nonce = self._nonce
+        progress.expected_nonce = self._nonce
         return effects
 
     def _send_snapshot(
@@ -394,9 +398,9 @@
     ) -> list[Effect]:
         self._nonce += 1
         self._lease.sent(self._nonce, now)
-        snapshot = self._snapshot_now()
+        snapshot = self._encode_snapshot()
         progress.state = FollowerState.SNAPSHOT
-        progress.awaited_nonce = self._nonce
+        progress.expected_nonce = self._nonce
         progress.snapshot_sent_at = now
         progress.next_index = snapshot.last_index + 1
         install = SnapshotRequest(self.epoch, self.me, snapshot, self._nonce)
@@ -409,7 +413,7 @@
         if self._log.epoch_at(previous) is None:
             return self._send_snapshot(now, follower, progress)
         entries = self._log.after(previous, constants.APPEND_BATCH_ENTRIES)
-        # Optimistic: a lost request is found by the next one's mismatch.
+        # Optimistic: if this request is lost, the next one is rejected as a mismatch.
         progress.next_index += len(entries)
         return self._send_request(now, follower, previous, entries)
 
@@ -438,9 +442,9 @@
         if self.role is not ReplicaRole.LEADER or message.epoch != self.epoch or progress is None:
             return []
         effects: list[Effect] = []
-        progress.last_heard_at = now
-        if progress.silent:
-            progress.silent = False
+        progress.last_contact_at = now
+        if progress.unresponsive:
+            progress.unresponsive = False
             fields: dict[str, object] = {"follower": message.follower.node_id, "epoch": self.epoch}
             effects.append(Emit(LogEvent.FOLLOWER_REGAINED, fields))
         if message.follower in self._electorate().members:
@@ -451,7 +455,7 @@
             progress.match_index = message.match_index
         if progress.state is FollowerState.REPLICATE:
             progress.next_index = max(progress.next_index, message.match_index + 1)
-        elif message.nonce == progress.awaited_nonce:
+        elif message.nonce == progress.expected_nonce:
             progress.state = FollowerState.REPLICATE
             progress.next_index = message.match_index + 1
         effects += self._advance_commit(now)
@@ -463,24 +467,24 @@
     def _on_mismatch(
         self, now: float, message: AppendReply, progress: FollowerProgress
     ) -> list[Effect]:
-        """The logs do not meet where the request said.
+        """Probes for the last common entry after a rejected request.
 
-        While requests are under way their mismatches are answered by one probe in all: an
-        answer to each would send the same entries again and again.
+        Rejections of pipelined requests share one probe; a probe for each rejection would send
+        the same entries repeatedly.
         """
         replicating = progress.state is FollowerState.REPLICATE
-        if not replicating and message.nonce != progress.awaited_nonce:
+        if not replicating and message.nonce != progress.expected_nonce:
             return []
         progress.state = FollowerState.PROBE
         progress.next_index = max(1, min(message.match_index + 1, self._log.last_index + 1))
         return self._send_probe(now, message.follower, progress)
 
     def _advance_commit(self, now: float) -> list[Effect]:
-        agreed = self._electorate().agreed_index(self._match_index)
-        # Only an entry of the own epoch commits by counting (Raft, section 5.4.2).
-        if agreed <= self._commit_index or self._log.epoch_at(agreed) != self.epoch:
+        quorum_index = self._electorate().quorum_index(self._match_index)
+        # Only entries of the current epoch commit by counting replicas (Raft, section 5.4.2).
+        if quorum_index <= self._commit_index or self._log.epoch_at(quorum_index) != self.epoch:
             return []
-        self._commit_index = agreed
+        self._commit_index = quorum_index
         return self._apply(now)
 
     def _match_index(self, voter: Voter) -> int:
@@ -490,27 +494,32 @@
         return progress.match_index if progress is not None else 0
 
     def _electorate(self) -> Electorate:
-        return electorate(self._log, self._commit_index, self._proofs.lost)
+        return current_electorate(
+            self._log, self._commit_index, self._lost_disk_detector.lost_disks
+        )
 
     @property
-    def _gives_votes(self) -> bool:
-        """A voter that the newest change leaves out gives votes until that change is settled
-        everywhere: whoever does not know of the commit may need its vote."""
+    def _grants_votes(self) -> bool:
+        """Whether this replica answers vote requests.
+
+        A voter removed by the newest change keeps voting, because a node that does not know that
+        the change is committed may need its vote.
+        """
         return self.is_voter or self.me in self._log.voters_before_change
 
     @property
-    def _campaigns(self) -> bool:
-        """Whether this replica asks for votes.
+    def _may_campaign(self) -> bool:
+        """Whether this replica may start an election.
 
-        One that knows that it is out does so only where a voter's disk is lost: its log may be
-        the longest that is left.
+        A replica whose removal is committed campaigns only if a voter has lost its disk: its own
+        log may be the longest one left.
         """
-        out = not self.is_voter and self._log.voters_at(self._commit_index) == self.voters
-        needed = not self._proofs.lost.isdisjoint(self.voters)
-        return self._gives_votes and (needed or not out)
+        removed = not self.is_voter and self._log.voters_at(self._commit_index) == self.voters
+        needed = not self._lost_disk_detector.lost_disks.isdisjoint(self.voters)
+        return self._grants_votes and (needed or not removed)
 
-    def _leads_from_outside(self, now: float) -> bool:
-        """Whether this leader is out of the voter set and all of its log is committed."""
+    def _is_removed_leader(self, now: float) -> bool:
+        """Whether this leader is not in the voter set and its whole log is committed."""
         return (
             not self.is_voter and self.may_act(now) and self._commit_index == self._log.last_index
         )
@@ -524,24 +533,24 @@
         for voter in self.voters:
             same_node = voter.node_id == message.learner.node_id
             if same_node and voter not in (message.learner, self.me):
-                number = self._proofs.greeted(voter, message.answer_to)
-                if number is not None:
-                    return [Send(message.learner.node_id, IdentityQuestion(number))]
+                nonce = self._lost_disk_detector.handle_hello(voter, message.answer_to)
+                if nonce is not None:
+                    return [Send(message.learner.node_id, IdentityQuestion(nonce))]
                 self._progress.pop(voter, None)
         if self.role is not ReplicaRole.LEADER or message.learner in self.voters:
             return []
-        self._standbys.heard(message.learner, now)
-        effects = self._feed_standbys(now)
+        self._standbys.record_hello(message.learner, now)
+        effects = self._replicate_to_standbys(now)
         if message.learner not in self._progress:
-            effects.append(self._tell_who_leads(message.learner))
+            effects.append(self._announce_leader(message.learner))
         return effects
 
-    def _tell_who_leads(self, standby: Voter) -> Effect:
-        """An empty request before all entries: it commits nothing and names the leader."""
+    def _announce_leader(self, standby: Voter) -> Effect:
+        """An empty append request at index 0: it names the leader and commits nothing."""
         request = AppendRequest(self.epoch, self.me, 0, 0, [], 0, self._nonce)
         return Send(standby.node_id, request)
 
-    def _say_hello(self, now: float) -> list[Effect]:
+    def _send_hello(self, now: float) -> list[Effect]:
         if now < self._next_hello_at:
             return []
         self._next_hello_at = now + constants.STANDBY_HELLO_S
@@ -553,46 +562,57 @@
 
     def _voter_health(self, now: float) -> VoterHealth:
         deadline_s = now - constants.VOTER_SILENT_S
-        silent = {
+        unresponsive = {
             voter.node_id
             for voter, progress in self._progress.items()
             if voter in self.voters
-            and max(progress.last_heard_at, self._leader_since) <= deadline_s
+            and max(progress.last_contact_at, self._leader_since) <= deadline_s
         }
-        leaving = frozenset(self.state.retired_nodes)
-        return VoterHealth(self.voters, self.unavailable | silent, self._proofs.lost, leaving)
+        retiring = frozenset(self.state.retired_nodes)
+        return VoterHealth(
+            self.voters,
+            self.unavailable | unresponsive,
+            self._lost_disk_detector.lost_disks,
+            retiring,
+        )
 
-    def _feed_standbys(self, now: float) -> list[Effect]:
-        """Standbys that the voter set needs get the log; others get it no more.
+    def _replicate_to_standbys(self, now: float) -> list[Effect]:
+        """Starts replication to the standbys that are needed and stops it for the others.
 
-        Without the lease the silence of others says nothing: it may be this node that is cut off.
+        Requires the lease: without it this node may itself be partitioned from the others.
         """
         if not self.may_act(now):
             return []
         if self._switches.standbys:
-            wanted = self._standbys.wanted(now, self._voter_health(now), self._target_voters)
+            selected = self._standbys.select_replacements(
+                now, self._voter_health(now), self._target_voters
+            )
         else:
-            wanted = self._standbys.present(now)
-        deciders = self._electorate().members
+            selected = self._standbys.recently_seen(now)
+        electorate_members = self._electorate().members
         for learner in list(self._progress):
-            if learner not in deciders and learner not in self.voters and learner not in wanted:
+            if (
+                learner not in electorate_members
+                and learner not in self.voters
+                and learner not in selected
+            ):
                 del self._progress[learner]
         effects: list[Effect] = []
-        for standby in wanted:
+        for standby in selected:
             if standby not in self._progress:
                 self._progress[standby] = FollowerProgress(self._log.last_index + 1)
                 effects += self._send_probe(now, standby, self._progress[standby])
         return effects
 
     def _change_voters(self, now: float) -> list[Effect]:
-        """Starts the next change once everything before it is committed.
+        """Proposes the next voter set change once the previous one is committed.
 
-        Without the lease the silence of others says nothing: it may be this node that is cut off.
+        Requires the lease: without it this node may itself be partitioned from the others.
         """
         if not self.may_act(now):
             return []
-        settled = self._log.voters_at(self._commit_index) == self.voters
-        if not settled or self._log.epoch_at(self._applied_index) != self.epoch:
+        committed = self._log.voters_at(self._commit_index) == self.voters
+        if not committed or self._log.epoch_at(self._applied_index) != self.epoch:
             return []
         health = self._voter_health(now)
         learners = [
@@ -600,14 +620,14 @@
             for learner, progress in self._progress.items()
             if learner not in self.voters
             and progress.match_index >= self._commit_index
-            and now < progress.last_heard_at + constants.ELECTION_TIMEOUT_MAX_S
+            and now < progress.last_contact_at + constants.ELECTION_TIMEOUT_MAX_S
         ]
         next_set = next_voter_set(
             self.voters,
             learners,
-            health.silent,
+            health.unresponsive,
             self._target_voters,
-            health.leaving,
+            health.retiring,
         )
         if next_set is None:
             return []
@@ -620,9 +640,9 @@
         if epoch > self.epoch or self.role is not ReplicaRole.FOLLOWER:
             effects += self._step_down(now, epoch)
         self.leader = leader
-        self._leader_before = ""
-        self._trial = False
-        self._heard_from_leader_at = now
+        self._previous_leader = ""
+        self._in_pre_vote = False
+        self._last_leader_contact_at = now
         self._election_due_at = now + self._election_timeout(now)
         return effects
 
@@ -632,37 +652,37 @@
             return [Send(message.leader.node_id, reply)]
         effects = self._follow(now, message.epoch, message.leader.node_id)
         previous = message.previous_index
-        # What the snapshot covers is committed, hence equal at the leader.
-        known = previous < self._log.base_index
-        if not known and self._log.epoch_at(previous) != message.previous_epoch:
-            hint = self._meeting_hint(previous)
+        # Entries covered by the snapshot are committed and therefore match the leader's log.
+        compacted = previous < self._log.base_index
+        if not compacted and self._log.epoch_at(previous) != message.previous_epoch:
+            hint = self._conflict_hint(previous)
             reply = AppendReply(self.epoch, self.me, False, hint, message.nonce)
             return effects + self._when_durable([Send(message.leader.node_id, reply)])
         match_index = previous + len(message.entries)
-        # Before the entries are written, so that they and the commit index are durable together.
+        # Updated first, so that the entries and the commit index are persisted in one write.
         self._commit_index = max(self._commit_index, min(message.commit_index, match_index))
-        effects += self._take_entries(message.entries)
+        effects += self._append_missing_entries(message.entries)
         effects += self._apply(now)
         reply = AppendReply(self.epoch, self.me, True, match_index, message.nonce)
         return effects + self._when_durable([Send(message.leader.node_id, reply)])
 
-    def _meeting_hint(self, previous: int) -> int:
-        """Where the logs may meet: before the epoch that conflicts, not below what is committed."""
+    def _conflict_hint(self, previous: int) -> int:
+        """Index to try next: before the conflicting epoch, but not below the commit index."""
         hint = min(previous - 1, self._log.last_index)
         conflicting = self._log.epoch_at(previous)
         while hint > self._commit_index and self._log.epoch_at(hint) == conflicting:
             hint -= 1
         return max(hint, self._commit_index)
 
-    def _take_entries(self, entries: list[Entry]) -> list[Effect]:
-        """Adds what is new; an entry of another epoch at its index ends the old suffix."""
+    def _append_missing_entries(self, entries: list[Entry]) -> list[Effect]:
+        """Appends missing entries; a conflicting entry truncates the old suffix."""
         for position, entry in enumerate(entries):
             if entry.index <= self._log.base_index:
                 continue
-            held_epoch = self._log.epoch_at(entry.index)
-            if held_epoch == entry.epoch:
+            local_epoch = self._log.epoch_at(entry.index)
+            if local_epoch == entry.epoch:
                 continue
-            truncate = entry.index if held_epoch is not None else None
+            truncate = entry.index if local_epoch is not None else None
             return self._append(entries[position:], truncate_from=truncate)
         return []
 
@@ -677,7 +697,7 @@
             self.state = msgspec.msgpack.decode(snapshot.state, type=LedgerState)
             self._commit_index = snapshot.last_index
             self._applied_index = snapshot.last_index
-            # A suffix that does not continue the snapshot was dropped here: on disk as well.
+            # Drop a suffix that does not continue the snapshot on disk as well.
             after = snapshot.last_index + 1 if len(self._log) == 0 else None
             effects += self._persist(Persist(0, truncate_from=after, snapshot=snapshot))
             effects.append(Emit(LogEvent.SNAPSHOT_INSTALLED, {"index": snapshot.last_index}))
@@ -697,19 +717,19 @@
                 effects.append(Applied(ticket, result))
             if isinstance(entry.command, ChangeVoters):
                 effects += self._persist(Persist(0))
-                effects += self._adopt_voters(now)
+                effects += self._on_voters_applied(now)
         if self._applied_index - self._log.base_index >= constants.SNAPSHOT_AFTER_ENTRIES:
             effects += self._take_snapshot()
         return effects
 
     def _apply_recovered(self, commit_index: int) -> None:
-        """What the disk says was committed holds again at once."""
+        """Applies the entries that were known to be committed before the restart."""
         self._commit_index = max(self._commit_index, min(commit_index, self._log.last_index))
         while self._applied_index < self._commit_index:
             self._applied_index += 1
             self.state.apply(self._log.entry(self._applied_index).command)
 
-    def _adopt_voters(self, now: float) -> list[Effect]:
+    def _on_voters_applied(self, now: float) -> list[Effect]:
         if self.role is not ReplicaRole.LEADER:
             return []
         if self.me not in self.voters:
@@ -720,13 +740,13 @@
         return []
 
     def _take_snapshot(self) -> list[Effect]:
-        snapshot = self._snapshot_now()
+        snapshot = self._encode_snapshot()
         self._log.compact(without_state(snapshot))
         effects: list[Effect] = self._persist(Persist(0, snapshot=snapshot))
         return [*effects, Emit(LogEvent.SNAPSHOT_TAKEN, {"index": snapshot.last_index})]
 
-    def _snapshot_now(self) -> SnapshotRecord:
-        """The applied state as a snapshot, encoded when it is needed and not held."""
+    def _encode_snapshot(self) -> SnapshotRecord:
+        """Encodes the applied state as a snapshot. Not cached, to save memory."""
         index = self._applied_index
         epoch = self._log.epoch_at(index)
         assert epoch is not None
@@ -736,10 +756,10 @@
     def _append(self, entries: list[Entry], truncate_from: int | None = None) -> list[Effect]:
         if truncate_from is not None:
             self._log.truncate_from(truncate_from)
-            ceiling = truncate_from - 1
-            self._durable_index = min(self._durable_index, ceiling)
-            for write_id, index in self._written_index.items():
-                self._written_index[write_id] = min(index, ceiling)
+            last_kept = truncate_from - 1
+            self._durable_index = min(self._durable_index, last_kept)
+            for write_id, index in self._last_index_by_write.items():
+                self._last_index_by_write[write_id] = min(index, last_kept)
         self._log.append(entries)
         return self._persist(Persist(0, truncate_from=truncate_from, entries=entries))
 
@@ -748,13 +768,13 @@
 
     def _persist(self, write: Persist) -> list[Effect]:
         self._write_id += 1
-        self._written_index[self._write_id] = self._log.last_index
+        self._last_index_by_write[self._write_id] = self._log.last_index
         commit_index = self._commit_index
         return [msgspec.structs.replace(write, write_id=self._write_id, commit_index=commit_index)]
 
     def _when_durable(self, effects: list[Effect]) -> list[Effect]:
-        """Holds effects back until every write so far is durable."""
+        """Defers effects until every write issued so far is durable."""
         if self._durable_write_id >= self._write_id:
             return effects
-        self._held += [(self._write_id, effect) for effect in effects]
+        self._deferred_effects += [(self._write_id, effect) for effect in effects]
         return []
--- a/stileloom/ledger/standbys.py
+++ b/stileloom/ledger/standbys.py
@@ -1,8 +1,8 @@
-"""Replicas outside the voter set, and which of them the leader feeds.
+"""Replicas outside the voter set, and which of them receive the log.
 
-A deployment may have many more disks than voters. A replica that no voter set needs holds no
-copy of the ledger: it says hello now and then, is told who leads, and gets the log only once
-a voter is silent, lost its disk or is to be emptied.
+A deployment may have many more disks than voters. A standby holds no copy of the ledger: it
+sends a hello periodically and is told who leads. The leader replicates the log to it only when
+a voter is unresponsive, has lost its disk or is being retired.
 """
 
 from __future__ import annotations
@@ -14,63 +14,66 @@
 
 
 class VoterHealth(msgspec.Struct, frozen=True):
-    """What the leader knows of the voters."""
+    """State of the voters as observed by the leader."""
 
     voters: list[Voter]
-    silent: set[str]
-    """Nodes that do not answer."""
+    unresponsive: set[str]
+    """Nodes that do not reply."""
     lost_disks: set[Voter]
-    """Voters whose node came back with another disk."""
-    leaving: frozenset[str]
-    """Nodes that are to be emptied."""
+    """Voters whose node is running with a different disk."""
+    retiring: frozenset[str]
+    """Nodes that are being retired."""
 
     @property
-    def sound(self) -> list[Voter]:
-        """Voters that need no successor."""
-        gone = self.silent | self.leaving
+    def healthy(self) -> list[Voter]:
+        """Voters that need no replacement."""
+        excluded = self.unresponsive | self.retiring
         return [
             voter
             for voter in self.voters
-            if voter not in self.lost_disks and voter.node_id not in gone
+            if voter not in self.lost_disks and voter.node_id not in excluded
         ]
 
 
 class StandbyPool:
-    """Standbys that were heard of lately."""
+    """Standbys that sent a hello recently."""
 
     def __init__(self) -> None:
-        self._heard_at: dict[Voter, float] = {}
+        self._last_hello_at: dict[Voter, float] = {}
 
-    def heard(self, standby: Voter, now: float) -> None:
-        """A standby said hello; a node's earlier disk is forgotten."""
-        for known in list(self._heard_at):
+    def record_hello(self, standby: Voter, now: float) -> None:
+        """Records a hello; replaces the record of the node's previous disk."""
+        for known in list(self._last_hello_at):
             if known.node_id == standby.node_id:
-                del self._heard_at[known]
-        self._heard_at[standby] = now
+                del self._last_hello_at[known]
+        self._last_hello_at[standby] = now
 
-    def present(self, now: float) -> list[Voter]:
-        """All standbys that were heard of lately."""
+    def recently_seen(self, now: float) -> list[Voter]:
+        """All standbys that sent a hello within `STANDBY_FORGOTTEN_S`."""
         return [
             standby
-            for standby, heard_at in self._heard_at.items()
-            if now < heard_at + constants.STANDBY_FORGOTTEN_S
+            for standby, last_hello_at in self._last_hello_at.items()
+            if now < last_hello_at + constants.STANDBY_FORGOTTEN_S
         ]
 
-    def wanted(self, now: float, health: VoterHealth, target_count: int) -> list[Voter]:
-        """The standbys to feed: as many as the voter set lacks sound members.
+    def select_replacements(
+        self, now: float, health: VoterHealth, target_count: int
+    ) -> list[Voter]:
+        """The standbys to replicate to: one for each healthy voter that is missing.
 
-        A node whose own earlier disk was a voter comes first, so that the set keeps its nodes.
+        Nodes whose previous disk is a voter come first, so that the set of nodes stays stable.
         """
-        missing = target_count - len(health.sound)
+        missing = target_count - len(health.healthy)
         if missing <= 0:
             return []
-        sound_nodes = {voter.node_id for voter in health.sound}
+        healthy_nodes = {voter.node_id for voter in health.healthy}
         voting_nodes = {voter.node_id for voter in health.voters}
         candidates = [
             standby
-            for standby in self.present(now)
-            if standby.node_id not in sound_nodes | health.leaving and standby not in health.voters
+            for standby in self.recently_seen(now)
+            if standby.node_id not in healthy_nodes | health.retiring
+            and standby not in health.voters
         ]
-        # Disk ids are drawn at random: the order favours no zone.
+        # Disk ids are random, so this order favours no zone.
         candidates.sort(key=lambda standby: (standby.node_id not in voting_nodes, standby.disk_id))
         return candidates[:missing]
