--- a/stileloom/ledger/__init__.py
+++ b/stileloom/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated, fsynced record of samples, deliveries, keys and the controller's epoch."""
+"""Replicated, durable log and state machine for rounds, jobs, keys and leadership."""
 
 from stileloom.ledger.client import CommandFinished, LedgerClient
 from stileloom.ledger.effects import Applied, Dropped, Persist
--- a/stileloom/ledger/effects.py
+++ b/stileloom/ledger/effects.py
@@ -1,4 +1,4 @@
-"""What a ledger replica asks its driver to do, beside sending."""
+"""Effects that a ledger replica returns to its driver, besides `Send`."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Make this durable, then call `LedgerReplica.persisted(write_id)`.
+    """A write to make durable; the driver then calls `LedgerReplica.persisted(write_id)`.
 
-    Writes are made durable in the order of their ids. After a crash any suffix of the
-    writes that were not confirmed may be lost.
+    Writes become durable in the order of their ids. After a crash any suffix of the unconfirmed
+    writes may be lost.
     """
 
     write_id: int
     hard_state: HardState | None = None
     truncate_from: int | None = None
-    """Drop entries at this index and above before adding `entries`."""
+    """Remove entries from this index on before appending `entries`."""
     entries: list[Entry] = msgspec.field(default_factory=list)
     commit_index: int = 0
-    """Entries up to here are known to be committed."""
+    """Entries up to this index are known to be committed."""
     snapshot: SnapshotRecord | None = None
     """Replaces the log up to its last index."""
 
@@ -34,6 +34,6 @@
 
 
 class Dropped(msgspec.Struct, frozen=True):
-    """Leadership was lost; whether the command will be committed is not known."""
+    """Leadership was lost; the command may or may not be committed."""
 
     ticket: object
--- a/stileloom/ledger/log.py
+++ b/stileloom/ledger/log.py
@@ -1,4 +1,4 @@
-"""The in-memory part of a replica's log: a snapshot and the entries after it."""
+"""A replica's log in memory: snapshot metadata and the entries after the snapshot."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class VoterChange(msgspec.Struct, frozen=True):
-    """A voter set and the index of the entry that brought it."""
+    """A voter set and the index of the entry that introduced it."""
 
     index: int
     voters: list[Voter]
 
 
 class LedgerLog:
-    """Entries by index; everything up to `base_index` stands in the snapshot."""
+    """Entries by index; the snapshot covers everything up to `base_index`."""
 
     def __init__(self, snapshot: SnapshotRecord, entries: list[Entry]) -> None:
         self.snapshot = snapshot
@@ -43,7 +43,7 @@
         return len(self._entries)
 
     def epoch_at(self, index: int) -> int | None:
-        """Epoch of an entry, or None where it is compacted away or not there yet."""
+        """Epoch of an entry, or None if the entry is compacted or does not exist yet."""
         if index == self.base_index:
             return self.snapshot.last_epoch
         if index < self.base_index or index > self.last_index:
@@ -51,16 +51,16 @@
         return self._entries[index - self.base_index - 1].epoch
 
     def entry(self, index: int) -> Entry:
-        """The entry at an index that is held."""
+        """The entry at an index above `base_index`."""
         return self._entries[index - self.base_index - 1]
 
     def after(self, index: int, limit: int) -> list[Entry]:
-        """Up to `limit` entries that follow `index`."""
+        """Up to `limit` entries after `index`."""
         start = index - self.base_index
         return self._entries[start : start + limit]
 
     def append(self, entries: list[Entry]) -> None:
-        """Adds entries that follow the newest one."""
+        """Appends entries that directly follow the last one."""
         self._entries.extend(entries)
         self._voter_changes += [
             VoterChange(entry.index, entry.command.voters)
@@ -69,12 +69,12 @@
         ]
 
     def truncate_from(self, index: int) -> None:
-        """Drops the entry at `index` and all above."""
+        """Removes the entry at `index` and all later ones."""
         del self._entries[index - self.base_index - 1 :]
         self._voter_changes = [change for change in self._voter_changes if change.index < index]
 
     def compact(self, snapshot: SnapshotRecord) -> None:
-        """Puts a snapshot in place of the log up to its last index."""
+        """Replaces the log up to the snapshot's last index with the snapshot."""
         keep_from = snapshot.last_index - self.base_index
         matches = self.epoch_at(snapshot.last_index) == snapshot.last_epoch
         self._entries = self._entries[keep_from:] if matches else []
@@ -83,7 +83,7 @@
         self.snapshot = snapshot
 
     def voters_at(self, index: int) -> list[Voter]:
-        """The voter set in effect with the log up to `index`."""
+        """The voter set in effect at `index`."""
         for change in reversed(self._voter_changes):
             if change.index <= index:
                 return change.voters
@@ -91,12 +91,12 @@
 
     @property
     def voters_before_change(self) -> list[Voter]:
-        """The voter set before the newest change that the log holds."""
+        """The voter set before the newest change in the log."""
         if not self._voter_changes:
             return self.snapshot.voters
         return self.voters_at(self._voter_changes[-1].index - 1)
 
     @property
     def voters(self) -> list[Voter]:
-        """The voter set in effect: the newest one in the log, committed or not."""
+        """The voter set in effect: the newest one in the log, whether committed or not."""
         return self.voters_at(self.last_index)
--- a/stileloom/ledger/messages.py
+++ b/stileloom/ledger/messages.py
@@ -1,4 +1,4 @@
-"""Messages between ledger replicas, and the records they keep on disk."""
+"""Messages between ledger replicas, and the records that they persist."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True, tag=True):
-    """What a replica must never forget: its epoch and whom it voted for in it."""
+    """Durable Raft state: the current epoch and the vote cast in it."""
 
     epoch: int
     voted_for: Voter | None
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, tag=True):
-    """The state up to an index, in place of the log before it."""
+    """The state at an index; replaces the log up to that index."""
 
     last_index: int
     last_epoch: int
@@ -33,7 +33,7 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks for a vote; with `trial` only whether one would be given (pre-vote)."""
+    """Requests a vote; with `trial` set, a pre-vote."""
 
     epoch: int
     candidate: Voter
@@ -41,17 +41,17 @@
     last_epoch: int
     trial: bool
     handed_over: bool = False
-    """The leader itself has asked for the election: its lease stands in nobody's way."""
+    """The election was requested by the leader, so voters ignore the leader's lease."""
 
 
 class HandOver(msgspec.Struct, frozen=True, tag=True):
-    """The leader stops and asks this follower to be elected now."""
+    """The leader has stepped down and asks this follower to start an election now."""
 
     epoch: int
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag=True):
-    """Answers a vote request."""
+    """Reply to a vote request."""
 
     epoch: int
     voter: Voter
@@ -60,7 +60,7 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, tag=True):
-    """Entries from the leader; empty as a heartbeat."""
+    """Entries from the leader; without entries it is a heartbeat."""
 
     epoch: int
     leader: Voter
@@ -69,22 +69,22 @@
     entries: list[Entry]
     commit_index: int
     nonce: int
-    """Ties the reply to the time of sending, for the leader's lease."""
+    """Matches the reply to the send time, for the leader's lease."""
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
-    """What the follower has on disk after an append request."""
+    """Reply to an append or snapshot request."""
 
     epoch: int
     follower: Voter
     success: bool
     match_index: int
-    """With `success` the last index known equal and durable, else where to try next."""
+    """With `success` the last matching durable index, else the index to try next."""
     nonce: int
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag=True):
-    """A snapshot for a follower whose next entry the leader has compacted away."""
+    """A snapshot for a follower whose next entry is already compacted at the leader."""
 
     epoch: int
     leader: Voter
@@ -93,30 +93,30 @@
 
 
 class LearnerHello(msgspec.Struct, frozen=True, tag=True):
-    """A replica outside the voter set asks the leader for the log."""
+    """A replica outside the voter set announces itself to the leader."""
 
     learner: Voter
     answer_to: int = 0
-    """The number of the `IdentityQuestion` that this answers; 0 where it answers none."""
+    """`IdentityQuestion.number` that this replies to; 0 if unsolicited."""
 
 
 class IdentityQuestion(msgspec.Struct, frozen=True, tag=True):
-    """Asks a replica outside the voter set which disk it has now."""
+    """Asks a replica outside the voter set for its current disk identity."""
 
     number: int
 
 
 class CommandForward(msgspec.Struct, frozen=True, tag=True):
-    """A command from any node to the leader; `ticket` is the sender's."""
+    """A command from any node to the leader; `ticket` identifies it at the sender."""
 
     ticket: int
     command: Command
 
 
 class CommandAnswer(msgspec.Struct, frozen=True, tag=True):
-    """The applied result, or None where the receiver is not the leader."""
+    """The result of the applied command, or None if the receiver is not the leader."""
 
     ticket: int
     result: CommandResult | None
     leader: str
-    """Who leads as far as the receiver knows; empty where it does not."""
+    """The leader known to the receiver; empty if unknown."""
--- a/stileloom/ledger/recovered.py
+++ b/stileloom/ledger/recovered.py
@@ -1,4 +1,4 @@
-"""What a replica begins with: what its disk holds, or a ledger without history."""
+"""Initial state of a replica: recovered from disk, or an empty ledger."""
 
 from __future__ import annotations
 
@@ -10,32 +10,33 @@
 
 
 class RecoveredLedger(msgspec.Struct):
-    """What a replica finds on its disk, or a fresh start."""
+    """Persistent state that a replica starts from."""
 
     hard_state: HardState
     snapshot: SnapshotRecord
     entries: list[Entry]
     commit_index: int = 0
-    """Entries up to here are known to be committed."""
+    """Entries up to this index are known to be committed."""
 
 
 def fresh_ledger(voters: list[Voter]) -> RecoveredLedger:
-    """A ledger without history; `voters` is the first voter set, the same on every node."""
+    """An empty ledger; `voters` is the initial voter set, identical on every node."""
     state = LedgerState(voters=voters)
     snapshot = SnapshotRecord(0, 0, voters, msgspec.msgpack.encode(state))
     return RecoveredLedger(HardState(0, None), snapshot, [])
 
 
 def without_state(snapshot: SnapshotRecord) -> SnapshotRecord:
-    """What the log needs of a snapshot: its state stands on disk and in the applied state."""
+    """The snapshot's metadata only; the state itself is on disk and in `LedgerReplica.state`."""
     return msgspec.structs.replace(snapshot, state=b"")
 
 
 def last_leader(recovered: RecoveredLedger, state: LedgerState) -> str:
-    """Who led when the disk was written last, if it is sure of that; else empty.
+    """The leader when the disk was last written; empty if it cannot be determined.
 
-    Each leader begins with `StartEpoch`. With a later epoch on disk than in the log somebody
-    else may have been answered since. `state` is that of the committed entries.
+    Each leader's first entry is `StartEpoch`. If the epoch on disk is later than that of the last
+    entry, this replica may have confirmed a different leader since. `state` is the state after
+    the committed entries.
     """
     last_epoch = recovered.entries[-1].epoch if recovered.entries else recovered.snapshot.last_epoch
     if recovered.hard_state.epoch != last_epoch:
--- a/stileloom/ledger/storage.py
+++ b/stileloom/ledger/storage.py
@@ -1,12 +1,12 @@
-"""A ledger replica's files: an append-only journal and the newest snapshot.
+"""Files of a ledger replica: an append-only journal and the newest snapshot.
 
-The journal is a sequence of records, each a length, a 64-bit hash and msgpack. A record that
-is cut or does not match its hash ends the journal: it was being written when the process
-died, so nobody was told that it is durable. A snapshot is written aside, synced and renamed;
-the journal is then begun anew.
+The journal is a sequence of records, each a length, a 64-bit hash and a msgpack body. A record
+that is truncated or does not match its hash ends the journal: the process ended during the
+write, so the record was never reported as durable. A snapshot is written to a temporary file,
+synced and renamed; the journal is then rewritten.
 
-A disk may refuse writes for a while. A write that failed is cut off the journal and may be made
-again: its entries take the place of those that stand at their index.
+Writes may fail temporarily, for example on a full disk. A failed write is truncated from the
+journal and may be retried: its entries replace those at the same indexes.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 
 class AppendRecord(msgspec.Struct, frozen=True, tag=True):
-    """Entries added after dropping those from `truncate_from` on."""
+    """Entries appended after removing those from `truncate_from` on."""
 
     truncate_from: int | None
     entries: list[Entry]
     commit_index: int = 0
-    """Entries up to here were known to be committed when this was written."""
+    """Entries up to this index were known to be committed at the time of the write."""
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
-    """Which voter this disk is."""
+    """The voter that this disk belongs to."""
 
     voter: Voter
 
@@ -49,7 +49,7 @@
 
 
 class LedgerStorage:
-    """The files in one data folder. Calls block; the driver makes them on a thread."""
+    """The files in one data folder. Calls block; the driver runs them in a thread."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -58,28 +58,28 @@
         self._entries: list[Entry] = []
         self._commit_index = 0
         self._synced_commit_index = 0
-        """What the journal's synced records say of the commit index."""
+        """Commit index in the synced records of the journal."""
         self._journal: int | None = None
         self._journal_bytes = 0
-        """Length of the journal's synced records."""
+        """Total length of the synced records of the journal."""
 
     # Identity.
 
     def read_identity(self) -> Voter | None:
-        """The voter that this disk is, or None at the first start."""
+        """The voter that this disk belongs to, or None at the first start."""
         path = self._folder / IDENTITY_NAME
         if not path.exists():
             return None
         return msgspec.json.decode(path.read_bytes(), type=IdentityRecord).voter
 
     def write_identity(self, voter: Voter) -> None:
-        """Writes the identity, durable on return."""
+        """Writes the identity; it is durable on return."""
         self._replace(IDENTITY_NAME, msgspec.json.encode(IdentityRecord(voter)))
 
     # Recovery.
 
     def recover(self) -> RecoveredLedger | None:
-        """What the files hold, or None where there is no ledger yet."""
+        """The persisted ledger, or None if there is none yet."""
         path = self._folder / SNAPSHOT_NAME
         if not path.exists():
             return None
@@ -99,14 +99,14 @@
             body = data[start : start + length]
             if len(body) < length or xxhash.xxh3_64_intdigest(body) != digest:
                 break
-            self._replay(_JOURNAL_DECODER.decode(body))
+            self._replay_record(_JOURNAL_DECODER.decode(body))
             position = start + length
         if position < len(data):
             with path.open("r+b") as journal:
                 journal.truncate(position)
                 os.fsync(journal.fileno())
 
-    def _replay(self, record: HardState | AppendRecord) -> None:
+    def _replay_record(self, record: HardState | AppendRecord) -> None:
         if isinstance(record, HardState):
             self._hard_state = record
             return
@@ -124,22 +124,22 @@
     # Writing.
 
     def start_fresh(self, recovered: RecoveredLedger) -> None:
-        """Writes a first snapshot."""
+        """Writes the initial snapshot."""
         self._replace(SNAPSHOT_NAME, msgspec.msgpack.encode(recovered.snapshot))
         self._open_journal()
 
     def write(self, writes: list[Persist]) -> None:
-        """Makes writes durable with one sync, in order.
+        """Makes writes durable in order, with one sync unless they include a snapshot.
 
-        Raises `OSError` where the disk refuses; the same writes may then be made again.
+        Raises `OSError` if the disk rejects a write; the same writes may then be retried.
         """
         buffer = bytearray()
         for write in writes:
             if write.hard_state is not None:
                 self._hard_state = write.hard_state
                 buffer += _record(write.hard_state)
-            news = write.entries or write.commit_index > self._synced_commit_index
-            if news or write.truncate_from is not None:
+            has_changes = write.entries or write.commit_index > self._synced_commit_index
+            if has_changes or write.truncate_from is not None:
                 record = AppendRecord(write.truncate_from, write.entries, write.commit_index)
                 self._add_entries(record)
                 buffer += _record(record)
@@ -155,7 +155,7 @@
         if self._journal is None:
             self._open_journal()
         assert self._journal is not None
-        # What an earlier write that failed left behind the synced records is no record.
+        # Remove what an earlier failed write left after the synced records.
         os.ftruncate(self._journal, self._journal_bytes)
         _write_all(self._journal, buffer)
         os.fsync(self._journal)
@@ -163,7 +163,7 @@
         self._synced_commit_index = self._commit_index
 
     def _write_snapshot(self, snapshot: SnapshotRecord) -> None:
-        """The new snapshot first, then a journal without what it covers."""
+        """Replaces the snapshot, then the journal, without the entries that the snapshot covers."""
         self._replace(SNAPSHOT_NAME, msgspec.msgpack.encode(snapshot))
         kept = [entry for entry in self._entries if entry.index > snapshot.last_index]
         consecutive = bool(kept) and kept[0].index == snapshot.last_index + 1
@@ -183,13 +183,13 @@
         self._journal_bytes = os.fstat(self._journal).st_size
 
     def _replace(self, name: str, body: bytes) -> None:
-        """Writes a file aside, syncs it, renames it, and syncs the folder."""
-        aside = self._folder / f"{name}.new"
-        with aside.open("wb") as file:
+        """Atomically replaces a file: temporary file, sync, rename, sync of the folder."""
+        temporary = self._folder / f"{name}.new"
+        with temporary.open("wb") as file:
             file.write(body)
             file.flush()
             os.fsync(file.fileno())
-        aside.rename(self._folder / name)
+        temporary.rename(self._folder / name)
         folder = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(folder)
--- a/stileloom/ledger/voters.py
+++ b/stileloom/ledger/voters.py
@@ -1,9 +1,8 @@
-"""Which change of the voter set is due next: one voter at a time.
+"""Selects the next voter set change; one voter changes at a time.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 4.1, with the
-correction that a leader first commits an entry of its own epoch. A voter whose disk is
-lost is removed first and its successor added after, never both in one step: the
-majorities of both sets must meet.
+correction that a leader first commits an entry of its own epoch. A voter whose disk is lost is
+removed before its replacement is added: the majorities of consecutive sets must overlap.
 """
 
 from __future__ import annotations
@@ -16,30 +15,30 @@
     caught_up_learners: list[Voter],
     unavailable: set[str],
     target_count: int,
-    leaving: frozenset[str] = frozenset(),
+    retiring: frozenset[str] = frozenset(),
 ) -> list[Voter] | None:
-    """The next voter set, one step from `voters`, or None where nothing is to change.
+    """The next voter set, or None if no change is due.
 
-    `unavailable` names nodes that do not answer, `leaving` those that are to be emptied.
+    `unavailable` are nodes that do not reply, `retiring` are nodes that are being retired.
     """
     for learner in caught_up_learners:
         for voter in voters:
             lost_disk = voter.node_id == learner.node_id and voter.disk_id != learner.disk_id
             if lost_disk and len(voters) > 1:
                 return [other for other in voters if other != voter]
-    held_by = {voter.node_id for voter in voters}
-    newcomers = [
+    voter_nodes = {voter.node_id for voter in voters}
+    candidates = [
         learner
         for learner in caught_up_learners
-        if learner.node_id not in held_by and learner.node_id not in leaving
+        if learner.node_id not in voter_nodes and learner.node_id not in retiring
     ]
-    going = [voter for voter in voters if voter.node_id in leaving]
-    staying = len(voters) - len(going)
-    if newcomers and staying < target_count:
-        return sorted([*voters, newcomers[0]], key=lambda voter: voter.node_id)
-    if going and staying > 0:
-        return [other for other in voters if other != going[0]]
-    if newcomers:
+    to_remove = [voter for voter in voters if voter.node_id in retiring]
+    remaining = len(voters) - len(to_remove)
+    if candidates and remaining < target_count:
+        return sorted([*voters, candidates[0]], key=lambda voter: voter.node_id)
+    if to_remove and remaining > 0:
+        return [other for other in voters if other != to_remove[0]]
+    if candidates:
         for voter in voters:
             if voter.node_id in unavailable:
                 return [other for other in voters if other != voter]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -49,7 +49,7 @@
     VoteRequest,
 )
 from stileloom.ledger.messages import HandOver as HandOverMessage
-from stileloom.ledger.order_windows import LATENESS_S, ORDER_WINDOW_S, OrderWindows
+from stileloom.ledger.order_windows import MAX_ORDER_DELAY_S, ORDER_WINDOW_S, OrderWindows
 from stileloom.ledger.recovered import RecoveredLedger
 from stileloom.ledger.replica import ReplicaRole
 from stileloom.ledger.storage import JOURNAL_NAME, LedgerStorage
@@ -650,7 +650,7 @@
         self.assertEqual(float("-inf"), windows.orders_from("", "b", LEASE_S))
         windows.learned(1, 10.0)
         windows.learned(1, 12.0)
-        expected = 10.0 + ORDER_WINDOW_S + LATENESS_S + LEASE_S
+        expected = 10.0 + ORDER_WINDOW_S + MAX_ORDER_DELAY_S + LEASE_S
         self.assertEqual(expected, windows.orders_from("a", "b", LEASE_S))
         windows.learned(2, 12.5)
         self.assertEqual(expected + 2.5, windows.orders_from("a", "b", LEASE_S))
