--- a/stileloom/lease/__init__.py
+++ b/stileloom/lease/__init__.py
@@ -1,4 +1,4 @@
-"""Leases on a monotonic clock, and fencing tokens for those who outlive theirs."""
+"""Leader leases on a monotonic clock, and fencing tokens against holders of expired leases."""
 
 from stileloom.lease.fence import Fence, FencingToken
 from stileloom.lease.leader import LeaderLease
--- a/stileloom/lease/fence.py
+++ b/stileloom/lease/fence.py
@@ -1,4 +1,4 @@
-"""Fencing tokens: orders carry (epoch, sequence) and a receiver refuses lower ones."""
+"""Fencing tokens: orders carry (epoch, sequence); receivers reject tokens lower than the last."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class FencingToken(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Ordered first by the leader's epoch, then by the leader's own count."""
+    """Ordered by the leader's epoch, then by the leader's sequence number."""
 
     epoch: int
     sequence: int
 
 
 class Fence:
-    """Remembers the highest token seen and admits only higher ones, or the same again."""
+    """Admits tokens that are not lower than the highest one admitted so far."""
 
     def __init__(self) -> None:
         self.highest = FencingToken(0, 0)
 
     def admits(self, token: FencingToken) -> bool:
-        """Whether an order with this token may be carried out; remembers it if so."""
+        """Whether an order with this token may be executed; records the token if so."""
         if token < self.highest:
             return False
         self.highest = token
--- a/stileloom/lease/leader.py
+++ b/stileloom/lease/leader.py
@@ -1,10 +1,9 @@
-"""The leader's lease, counted from the time of sending (Gray and Cheriton 1989).
+"""The leader's lease, measured from the send time of heartbeats (Gray and Cheriton 1989).
 
-A majority that answered a heartbeat sent at time t starts no election before
-t + ELECTION_TIMEOUT_MIN_S on its own clocks. The lease ends earlier, at
-t + LEADER_LEASE_S, which leaves the difference for clocks that run at unlike speed.
-The clock is monotonic and counts through a pause of the process, so a holder that wakes
-after its lease sees at its next check that the lease is gone.
+Followers that replied to a heartbeat sent at time t start no election before
+t + ELECTION_TIMEOUT_MIN_S on their own clocks. The lease expires earlier, at t + LEADER_LEASE_S;
+the difference is the margin for clock drift. The clock is monotonic and advances while the
+process is paused, so a leader that resumes after its lease expired detects it at the next check.
 """
 
 from __future__ import annotations
@@ -13,27 +12,27 @@
 
 
 class LeaderLease:
-    """Answers one question: does this leader still hold its lease?"""
+    """Tracks confirmations of the leader's lease."""
 
     def __init__(self) -> None:
         self._sent_at: dict[int, float] = {}
-        self._confirmed: dict[str, float] = {}
+        self._confirmed_at: dict[str, float] = {}
 
-    def sent(self, nonce: int, now: float) -> None:
-        """A heartbeat with this nonce leaves now."""
+    def record_sent(self, nonce: int, now: float) -> None:
+        """Records the send time of the heartbeat with this nonce."""
         self._sent_at[nonce] = now
         if len(self._sent_at) > 1024:
             self._sent_at.pop(next(iter(self._sent_at)))
 
-    def confirmed(self, follower: str, nonce: int) -> None:
-        """A follower answered the heartbeat with this nonce."""
+    def record_confirmed(self, follower: str, nonce: int) -> None:
+        """Records a follower's reply to the heartbeat with this nonce."""
         sent_at = self._sent_at.get(nonce)
         if sent_at is not None:
-            self._confirmed[follower] = max(self._confirmed.get(follower, sent_at), sent_at)
+            self._confirmed_at[follower] = max(self._confirmed_at.get(follower, sent_at), sent_at)
 
     def expires_at(self, me: str, voters: list[str], now: float) -> float:
-        """When the lease ends: the majority's newest confirmations decide."""
-        times = [now if v == me else self._confirmed.get(v, float("-inf")) for v in voters]
+        """When the lease expires, from the newest confirmations of a majority of the voters."""
+        times = [now if v == me else self._confirmed_at.get(v, float("-inf")) for v in voters]
         if not times:
             return float("-inf")
         times.sort(reverse=True)
@@ -41,6 +40,6 @@
         return majority_at + constants.LEADER_LEASE_S
 
     def clear(self) -> None:
-        """Forgets everything, at the loss of leadership."""
+        """Discards all confirmations when leadership is lost."""
         self._sent_at.clear()
-        self._confirmed.clear()
+        self._confirmed_at.clear()
--- a/stileloom/ledger/bootstrap.py
+++ b/stileloom/ledger/bootstrap.py
@@ -1,9 +1,9 @@
-"""The first voter set, agreed on by compare-and-swap in the object API.
+"""Initial voter set, agreed on by compare-and-swap in the object API.
 
-A node with a data folder draws a disk id at its first start and enters itself, until the set
-has its size and is sealed. A sealed set never changes here: later changes go through the
-ledger itself. A node that finds a sealed set without its own disk is a learner, whatever it
-was before: it may have voted in a life that it does not remember.
+A node with a data folder generates a disk id at its first start and adds itself until the set is
+complete and thereby sealed. A sealed set is never changed here; later changes go through the
+ledger. A node whose disk is not in the sealed set is a learner: it may have voted earlier with a
+disk that it has lost.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 class VoterSetRecord(msgspec.Struct, frozen=True):
-    """The object that all nodes with a data folder agree on."""
+    """The stored voter set."""
 
     target_count: int
     voters: list[Voter]
 
     @property
     def sealed(self) -> bool:
-        """Whether the set has its size; a sealed set is the ledger's first voter set."""
+        """Whether the set is complete and therefore the ledger's initial voter set."""
         return len(self.voters) >= self.target_count
 
 
 def enter_voter_set(
     current: VoterSetRecord | None, me: Voter, target_count: int
 ) -> VoterSetRecord | None:
-    """The record to write in place of `current`, or None where nothing is to be written."""
+    """The record that replaces `current`, or None if no write is needed."""
     if current is None:
         return VoterSetRecord(target_count, [me])
     if current.sealed or me in current.voters:
--- a/stileloom/ledger/client.py
+++ b/stileloom/ledger/client.py
@@ -1,6 +1,6 @@
-"""Sends a node's commands to the ledger's leader and repeats them until they are answered.
+"""Sends a node's commands to the ledger's leader and retries them until a result arrives.
 
-Commands are idempotent, so repeating one after a lost answer is safe.
+Commands are idempotent, so a retry after a lost result is safe.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 
 class CommandFinished(msgspec.Struct, frozen=True):
-    """The answer to a command; `result` is None where it is not known in time."""
+    """The result of a command; None if it timed out."""
 
     ticket: int
     result: CommandResult | None
 
 
 class _Pending(msgspec.Struct):
-    """A command that waits for its answer."""
+    """A command whose result is pending."""
 
     command: Command
-    give_up_at: float
+    deadline_at: float
     retry_at: float
     sent_to: str = ""
 
 
 class LedgerClient:
-    """The commands that this node waits for."""
+    """The pending commands of this node."""
 
     def __init__(self, tracker: LeaderTracker, first_ticket: int = 1) -> None:
         self._tracker = tracker
@@ -41,17 +41,17 @@
     def submit(
         self, now: float, command: Command, timeout_s: float = constants.COMMAND_TIMEOUT_S
     ) -> tuple[int, list[Effect]]:
-        """Sends a command; `CommandFinished` follows with the returned ticket."""
+        """Sends a command; `CommandFinished` with the returned ticket follows."""
         ticket = self._next_ticket
         self._next_ticket += 1
         self._pending[ticket] = _Pending(command, now + timeout_s, now)
         return ticket, self._send(now, ticket)
 
     def tick(self, now: float) -> list[Effect]:
-        """Repeats what is not answered and gives up what is out of time."""
+        """Retries unanswered commands and ends those that timed out."""
         effects: list[Effect] = []
         for ticket, pending in list(self._pending.items()):
-            if now >= pending.give_up_at:
+            if now >= pending.deadline_at:
                 del self._pending[ticket]
                 effects.append(CommandFinished(ticket, None))
             elif now >= pending.retry_at:
@@ -60,7 +60,7 @@
         return effects
 
     def handle(self, now: float, sender: str, message: CommandAnswer) -> list[Effect]:
-        """Takes the leader's answer, or a hint who the leader is."""
+        """Handles a result from the leader, or a hint at the current leader."""
         if message.result is not None:
             if self._pending.pop(message.ticket, None) is None:
                 return []
--- a/stileloom/ledger/commands.py
+++ b/stileloom/ledger/commands.py
@@ -1,7 +1,6 @@
 """Commands of the ledger's state machine and their results.
 
-Every command may be proposed more than once: a second application changes nothing and
-gives the same answer. That is what makes a retry after a lost answer safe.
+Commands are idempotent, so that a command can be retried when its result is lost.
 """
 
 from __future__ import annotations
@@ -15,26 +14,26 @@
 
 
 class StartEpoch(msgspec.Struct, frozen=True, tag=True):
-    """First entry of each leader; commits what earlier leaders left behind."""
+    """First entry of each leader; commits the uncommitted entries of earlier leaders."""
 
     leader: str
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True):
-    """A voter is a node together with its disk: a node that lost its disk is another voter."""
+    """A node together with its disk; a node with a replaced disk is a different voter."""
 
     node_id: str
     disk_id: str
 
 
 class ChangeVoters(msgspec.Struct, frozen=True, tag=True):
-    """Replaces the voter set; differs from the set before it by one voter."""
+    """Replaces the voter set; the new set differs from the previous one by one voter."""
 
     voters: list[Voter]
 
 
 class RegisterRound(msgspec.Struct, frozen=True, tag=True):
-    """Creates a round or revises its bound and step size."""
+    """Creates a round, or updates the settings of an existing one."""
 
     round_name: str
     staleness_bound: int
@@ -44,7 +43,7 @@
 
 
 class SubmitPrompts(msgspec.Struct, frozen=True, tag=True):
-    """Adds prompts; `batch_id` makes a repeat harmless."""
+    """Adds prompts; `batch_id` makes retries idempotent."""
 
     round_name: str
     batch_id: str
@@ -52,130 +51,130 @@
 
 
 class CommitSample(msgspec.Struct, frozen=True, tag=True):
-    """Offers a sample for its slot; the first one that is young enough wins."""
+    """Submits a sample for its slot; the first one within the staleness bound is accepted."""
 
     round_name: str
     sample: Sample
 
 
 class HandOver(msgspec.Struct, frozen=True, tag=True):
-    """Appends ready samples to the delivery log until it reaches `until_offset`."""
+    """Appends ready samples to the delivery log up to `until_offset`."""
 
     round_name: str
     until_offset: int
 
 
 class AcknowledgeDeliveries(msgspec.Struct, frozen=True, tag=True):
-    """The trainer keeps all deliveries below `offset`; they are dropped here."""
+    """The trainer has stored all deliveries below `offset`; removes them from the ledger."""
 
     round_name: str
     offset: int
 
 
 class PublishVersion(msgspec.Struct, frozen=True, tag=True):
-    """Makes `version` the round's current one."""
+    """Makes `version` the round's current version."""
 
     round_name: str
     version: int
 
 
 class ClaimKey(msgspec.Struct, frozen=True, tag=True):
-    """Claims an idempotency key for one request, cluster-wide."""
+    """Claims an idempotency key for a request, cluster-wide."""
 
     key: str
     body_digest: int
     request_id: str
     repeatable: bool
     claimed_at_s: float
-    """Wall time at the gateway, only used to expire old claims."""
+    """Wall-clock time at the gateway; only used to expire old claims."""
 
 
 class ReleaseKey(msgspec.Struct, frozen=True, tag=True):
-    """The claiming request was surely not run: the key may be claimed again."""
+    """Releases a key whose request was certainly not run."""
 
     key: str
     request_id: str
 
 
 class RaiseConfigurationFloor(msgspec.Struct, frozen=True, tag=True):
-    """No node may be served a configuration revision below this one from now on."""
+    """Sets the lowest configuration revision that may be served to nodes."""
 
     revision: int
 
 
 class SubmitJob(msgspec.Struct, frozen=True, tag=True):
-    """Takes a batch job, once."""
+    """Accepts a batch job; idempotent by job id."""
 
     submission: JobSubmission
 
 
 class RecordResults(msgspec.Struct, frozen=True, tag=True):
-    """Lists results of items; an item that is listed keeps its position and result."""
+    """Adds item results to the job's list; the position and result of an item are final."""
 
     job_id: str
     finished: list[FinishedItem]
 
 
 class SaveProgress(msgspec.Struct, frozen=True, tag=True):
-    """Keeps events of items under way, so that a new leader goes on from them."""
+    """Stores events of running items, so that a new leader can resume them."""
 
     job_id: str
     items: list[ItemProgress]
 
 
 class RecordIntervals(msgspec.Struct, frozen=True, tag=True):
-    """Times between two events at each sampler, as the leader measured them; seconds."""
+    """Event interval of each sampler as measured by the leader, in seconds."""
 
     interval_s: dict[str, float]
 
 
 class EndJob(msgspec.Struct, frozen=True, tag=True):
-    """Ends a batch job: its items need not run any more."""
+    """Ends a batch job; its remaining items are not run."""
 
     job_id: str
 
 
 class ForgetJob(msgspec.Struct, frozen=True, tag=True):
-    """Drops a job after its retention."""
+    """Removes a job after its retention period."""
 
     job_id: str
 
 
 class OpenOrderWindow(msgspec.Struct, frozen=True, tag=True):
-    """The leader may give orders to samplers for a short while (`ledger/order_windows.py`)."""
+    """Lets the leader send orders to samplers for `ORDER_WINDOW_S` (`ledger/order_windows.py`)."""
 
     holder: str
 
 
 class RetireNode(msgspec.Struct, frozen=True, tag=True):
-    """The node is to be emptied: it leaves the voter set and does not come back."""
+    """Retires a node: it is removed from the voter set permanently."""
 
     node_id: str
 
 
 class RecordSamplerEnds(msgspec.Struct, frozen=True, tag=True):
-    """Samplers ended soon after these requests had begun there."""
+    """Records samplers that crashed shortly after these requests started there."""
 
     ends: list[SamplerEnd]
     at_s: float
-    """The leader's wall time."""
+    """Wall-clock time at the leader."""
 
 
 class ClearSuspects(msgspec.Struct, frozen=True, tag=True):
-    """These requests got a good answer, or an operator released them."""
+    """Clears requests that completed successfully or were released by an operator."""
 
     identities: list[str]
 
 
 class StartTrial(msgspec.Struct, frozen=True, tag=True):
-    """A held request runs once more, if it is time."""
+    """Starts a trial run of a quarantined request, if one is due."""
 
     identity: str
     at_s: float
 
 
 class ForgetSuspects(msgspec.Struct, frozen=True, tag=True):
-    """Drops suspects whose time is over."""
+    """Removes suspects whose retention period is over."""
 
     at_s: float
 
@@ -208,33 +207,33 @@
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """The command holds, now or since an earlier application."""
+    """The command was accepted; `duplicate` if its effect was already in place."""
 
     duplicate: bool = False
 
 
 class Refused(msgspec.Struct, frozen=True, tag=True):
-    """The command was applied and changes nothing."""
+    """The command was rejected and had no effect."""
 
     kind: ErrorKind
     detail: str
 
 
 class PromptsAccepted(msgspec.Struct, frozen=True, tag=True):
-    """The slots that the prompts of a batch fill."""
+    """Slots assigned to the prompts of a batch."""
 
     first_slot: int
     count: int
 
 
 class SampleRefused(msgspec.Struct, frozen=True, tag=True):
-    """The sample is over-age or malformed; its slot stays open."""
+    """The sample is stale or malformed; its slot stays open."""
 
     detail: str
 
 
 class DeliveryPage(msgspec.Struct, frozen=True, tag=True):
-    """Deliveries in the log from the acknowledged offset up to the end asked for."""
+    """Deliveries from the acknowledged offset up to the requested end."""
 
     deliveries: list[Delivery]
     current_version: int
--- a/stileloom/ledger/leader_tracker.py
+++ b/stileloom/ledger/leader_tracker.py
@@ -1,4 +1,4 @@
-"""Who leads the ledger, as far as a node knows, and whom to ask where it does not."""
+"""Tracks the ledger's leader as known to one node."""
 
 from __future__ import annotations
 
@@ -6,52 +6,52 @@
 
 import msgspec
 
-LEADER_FORGOTTEN_S = 3.0
+LEADER_HINT_TTL_S = 3.0
 
 
 class LeaderHint(msgspec.Struct, frozen=True, tag=True):
-    """Answer of a node that is not the leader; `leader` is empty where it knows none."""
+    """Reply of a node that is not the leader; `leader` is empty if unknown."""
 
     leader: str
     epoch: int
 
 
 class LeaderTracker:
-    """The newest leader heard of. A hint of a lower epoch is ignored."""
+    """The leader of the highest known epoch. Hints from lower epochs are ignored."""
 
     def __init__(self, voters: Callable[[], list[str]]) -> None:
         self._voters = voters
         self._leader: str | None = None
         self._epoch = 0
-        self._heard_at = float("-inf")
-        self._turn = 0
+        self._last_report_at = float("-inf")
+        self._rotation = 0
 
     def heard(self, now: float, leader: str, epoch: int) -> None:
-        """Some node said who leads in an epoch."""
+        """Records the leader of an epoch as reported by a node."""
         if not leader or epoch < self._epoch:
             return
         self._leader = leader
         self._epoch = epoch
-        self._heard_at = now
+        self._last_report_at = now
 
     def silent(self, leader: str) -> None:
-        """The believed leader did not answer."""
+        """The node did not reply; if it is the known leader, the leader becomes unknown."""
         if leader == self._leader:
             self._leader = None
 
     def leader(self, now: float) -> str | None:
-        """The leader, or None where nothing was heard of it lately."""
-        if now >= self._heard_at + LEADER_FORGOTTEN_S:
+        """The leader, or None if it is unknown or its last report is too old."""
+        if now >= self._last_report_at + LEADER_HINT_TTL_S:
             return None
         return self._leader
 
     def ask(self, now: float) -> str | None:
-        """The leader, or the next voter in turn, which can tell."""
+        """The node to contact: the leader if known, else the voters in rotation."""
         known = self.leader(now)
         if known is not None:
             return known
         voters = sorted(self._voters())
         if not voters:
             return None
-        self._turn += 1
-        return voters[self._turn % len(voters)]
+        self._rotation += 1
+        return voters[self._rotation % len(voters)]
--- a/stileloom/ledger/peer_addresses.py
+++ b/stileloom/ledger/peer_addresses.py
@@ -1,9 +1,9 @@
-"""Where the other ledger nodes are.
+"""Addresses of the other ledger nodes.
 
-Three sources: frames name their sender's address, the store lists registered nodes, and the
-settings give a few addresses without names. A node whose address is not known is reached
-through all addresses that are: whoever receives a message for another ignores it or answers
-under its own name.
+There are three sources: frames contain their sender's address, the object store lists registered
+nodes, and the settings contain addresses without node names. A message for a node whose address
+is unknown is sent to all addresses that belong to no known node: other receivers ignore it or
+reply under their own name.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 
 class PeerAddresses:
-    """Addresses by node, and those without a name."""
+    """Addresses by node, and addresses whose node is unknown."""
 
     def __init__(self, me: Address, seeds: list[Address]) -> None:
         self._me = me
         self._by_node: dict[str, Address] = {}
         self._unnamed = set(seeds)
 
-    def heard_from(self, node_id: str, address: Address) -> None:
-        """A frame of the node came: nothing is newer."""
+    def record_sender(self, node_id: str, address: Address) -> None:
+        """Records the sender address of a frame; it replaces any earlier address."""
         self._by_node[node_id] = address
 
     def listed(self, node_id: str, address: Address) -> None:
-        """The store lists the node; a frame of the node itself counts more."""
+        """Records an address from the object store; addresses from frames take precedence."""
         self._by_node.setdefault(node_id, address)
         self._unnamed.add(address)
 
     def of(self, node_id: str) -> Address | None:
-        """The address of a node, if it is known."""
+        """The address of a node, or None if unknown."""
         return self._by_node.get(node_id)
 
     def everyone(self) -> list[Address]:
-        """All addresses but the own one."""
+        """All known addresses except this node's own."""
         return sorted({*self._by_node.values(), *self._unnamed} - {self._me})
 
     def targets(self, node_id: str) -> list[Address]:
-        """Where to send a message for a node."""
+        """Addresses to send a message for a node to."""
         known = self._by_node.get(node_id)
         if known is not None:
             return [known]
--- a/stileloom/ledger/registration.py
+++ b/stileloom/ledger/registration.py
@@ -1,4 +1,4 @@
-"""A ledger node's entry in the store: where the other replicas and the gateways reach it."""
+"""A ledger node's entry in the object store: its addresses for replicas and gateways."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LedgerRegistration(msgspec.Struct, frozen=True):
-    """The entry, as the node itself writes it."""
+    """The entry as written by the node."""
 
     ledger: str
-    """Where the other replicas reach it."""
+    """Address for other replicas."""
     calls: str
-    """Where gateways reach it."""
+    """Address for gateways."""
     disk: str
 
     @property
@@ -34,8 +34,8 @@
 
 
 def read_registrations(records: Iterable[ObjectRecord]) -> dict[str, LedgerRegistration]:
-    """Entries by node. One that no ledger node can have written is passed by: the store has
-    other writers, and their entry must not hide the rest."""
+    """Entries by node. Malformed entries are skipped: other clients write to the object store, and
+    one malformed entry must not hide the others."""
     found: dict[str, LedgerRegistration] = {}
     for record in records:
         registration = _parse(record.spec)
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -397,7 +397,7 @@
         self, now: float, follower: Voter, progress: FollowerProgress
     ) -> list[Effect]:
         self._nonce += 1
-        self._lease.sent(self._nonce, now)
+        self._lease.record_sent(self._nonce, now)
         snapshot = self._encode_snapshot()
         progress.state = FollowerState.SNAPSHOT
         progress.expected_nonce = self._nonce
@@ -421,7 +421,7 @@
         self, now: float, follower: Voter, previous: int, entries: list[Entry]
     ) -> list[Effect]:
         self._nonce += 1
-        self._lease.sent(self._nonce, now)
+        self._lease.record_sent(self._nonce, now)
         previous_epoch = self._log.epoch_at(previous)
         assert previous_epoch is not None
         request = AppendRequest(
@@ -448,7 +448,7 @@
             fields: dict[str, object] = {"follower": message.follower.node_id, "epoch": self.epoch}
             effects.append(Emit(LogEvent.FOLLOWER_REGAINED, fields))
         if message.follower in self._electorate().members:
-            self._lease.confirmed(message.follower.node_id, message.nonce)
+            self._lease.record_confirmed(message.follower.node_id, message.nonce)
         if not message.success:
             return effects + self._on_mismatch(now, message, progress)
         if message.match_index > progress.match_index:
--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -1,7 +1,7 @@
-"""The state machine that the ledger replicates: rounds, samples, deliveries, keys.
+"""The replicated state machine: rounds, samples, deliveries, keys, jobs and quarantine.
 
-`LedgerState` is a msgspec struct, so that a snapshot is its encoding. `apply` is
-deterministic: it reads no clock and draws no random numbers.
+`LedgerState` is a msgspec struct; a snapshot is its encoding. `apply` is deterministic: it reads
+no clock and uses no random numbers.
 """
 
 from __future__ import annotations
@@ -53,18 +53,18 @@
 from stileloom.quarantine.book import QuarantineBook
 
 KEY_RETENTION_S = 3600.0
-BATCHES_REMEMBERED = 256
+MAX_REMEMBERED_BATCHES = 256
 
 
 class OpenSlot(msgspec.Struct):
-    """A slot that has no accepted sample yet."""
+    """A slot without an accepted sample."""
 
     prompt: Prompt
     discarded_attempts: int = 0
 
 
 class KeyClaim(msgspec.Struct):
-    """Who holds an idempotency key."""
+    """The request that claimed an idempotency key."""
 
     body_digest: int
     request_id: str
@@ -72,7 +72,7 @@
 
 
 class RoundState(msgspec.Struct):
-    """All that is kept of one round."""
+    """State of one round."""
 
     name: str
     staleness_bound: int
@@ -82,14 +82,14 @@
     next_slot: int = 0
     open_slots: dict[int, OpenSlot] = msgspec.field(default_factory=dict)
     ready: dict[int, Sample] = msgspec.field(default_factory=dict)
-    """Accepted samples by slot, not handed over yet."""
+    """Accepted samples by slot that are not delivered yet."""
     slots_of_ready: dict[int, OpenSlot] = msgspec.field(default_factory=dict)
-    """What `open_slots` held for the samples in `ready`: needed if one grows over-age."""
+    """The slots of the samples in `ready`; a slot is reopened if its sample becomes stale."""
     deliveries: list[Delivery] = msgspec.field(default_factory=list)
-    """Handed over and not acknowledged; dense offsets from `acknowledged`."""
+    """Delivered but not acknowledged; offsets are contiguous from `acknowledged`."""
     acknowledged: int = 0
     handed_over_at_version: int = 0
-    """Samples handed over since the current version was published."""
+    """Samples delivered since the current version was published."""
     discarded_tokens: int = 0
     batches: dict[str, PromptsAccepted] = msgspec.field(default_factory=dict)
 
@@ -99,14 +99,15 @@
         return self.acknowledged + len(self.deliveries)
 
     def due_before(self, until_offset: int) -> int:
-        """Slots below this must be handed over before the log may reach `until_offset`."""
+        """Slots below this one must be delivered before the log may reach `until_offset`."""
         steps = until_offset // self.samples_per_step - self.reorder_window_steps
         return max(0, steps) * self.samples_per_step
 
     def hand_over_order(self) -> list[int]:
-        """Ready slots: first those that the next version makes too old, then in their order.
+        """Ready slots in delivery order: those that become stale at the next version come first.
 
-        Of those, long ones go first: if not all have a place, the least work is lost.
+        Among these, longer samples come first, so that the fewest tokens are discarded if not
+        all of them fit. The others follow in slot order.
         """
 
         def key(number: int) -> tuple[bool, int, int]:
@@ -118,7 +119,7 @@
         return sorted(self.ready, key=key)
 
     def age_of(self, sample: Sample) -> int:
-        """Versions between the oldest one in the sample and the current one."""
+        """Number of versions from the sample's oldest segment to the current version."""
         oldest = oldest_version(sample.segments)
         return self.version - (oldest if oldest is not None else self.version)
 
@@ -132,17 +133,17 @@
     configuration_floor: int = 0
     job_book: JobBook = msgspec.field(default_factory=JobBook)
     retired_nodes: set[str] = msgspec.field(default_factory=set)
-    """Nodes that are to be emptied or were; they do not become voters again."""
+    """Nodes that are being retired or have been; they do not become voters again."""
     order_windows: int = 0
-    """How many order windows were opened so far."""
+    """Number of order windows opened so far."""
     last_order_holder: str = ""
-    """The node that opened the newest one."""
+    """The node that opened the newest order window."""
     last_leader: str = ""
     quarantine: QuarantineBook = msgspec.field(default_factory=QuarantineBook)
-    """Requests under which samplers ended."""
+    """Requests during which samplers crashed."""
 
     def apply(self, command: Command) -> CommandResult:
-        """Applies one committed command."""
+        """Applies a committed command."""
         if isinstance(command, CommitSample):
             return self._commit_sample(command)
         if isinstance(command, HandOver):
@@ -199,7 +200,7 @@
             book.forget(command.job_id)
             return Done()
         if not book.end(command.job_id):
-            return Refused(ErrorKind.UNKNOWN_JOB, f"no job has the id {command.job_id!r}")
+            return Refused(ErrorKind.UNKNOWN_JOB, f"unknown job {command.job_id!r}")
         return Done()
 
     def _apply_to_quarantine(
@@ -213,7 +214,7 @@
         elif isinstance(command, ForgetSuspects):
             book.forget_expired(command.at_s)
         elif not book.start_trial(command.identity, command.at_s):
-            return Refused(ErrorKind.QUARANTINED, "its next run is not due yet")
+            return Refused(ErrorKind.QUARANTINED, "the next trial of this request is not due yet")
         return Done()
 
     def _register_round(self, command: RegisterRound) -> CommandResult:
@@ -235,7 +236,7 @@
     def _submit_prompts(self, command: SubmitPrompts) -> CommandResult:
         state = self.rounds.get(command.round_name)
         if state is None:
-            return _no_round(command.round_name)
+            return _unknown_round(command.round_name)
         earlier = state.batches.get(command.batch_id)
         if earlier is not None:
             return earlier
@@ -245,14 +246,14 @@
             state.next_slot += 1
         accepted = PromptsAccepted(first_slot, len(command.prompts))
         state.batches[command.batch_id] = accepted
-        if len(state.batches) > BATCHES_REMEMBERED:
+        if len(state.batches) > MAX_REMEMBERED_BATCHES:
             state.batches.pop(next(iter(state.batches)))
         return accepted
 
     def _commit_sample(self, command: CommitSample) -> CommandResult:
         state = self.rounds.get(command.round_name)
         if state is None:
-            return _no_round(command.round_name)
+            return _unknown_round(command.round_name)
         sample = command.sample
         slot = state.open_slots.get(sample.slot)
         if slot is None:
@@ -260,13 +261,13 @@
                 return Refused(ErrorKind.BAD_REQUEST, f"slot {sample.slot} does not exist")
             return Done(duplicate=True)
         if not segments_add_up(sample.segments, len(sample.tokens)):
-            return SampleRefused("the segments do not add up to the tokens")
+            return SampleRefused("the sample's segments do not cover its tokens")
         if sample.prompt_id != slot.prompt.prompt_id:
-            return SampleRefused("the sample answers another prompt")
+            return SampleRefused("the sample belongs to a different prompt than its slot")
         if state.age_of(sample) > state.staleness_bound:
             slot.discarded_attempts += 1
             state.discarded_tokens += len(sample.tokens)
-            return SampleRefused("the sample is older than the staleness bound")
+            return SampleRefused("the sample exceeds the staleness bound")
         del state.open_slots[sample.slot]
         state.ready[sample.slot] = sample
         state.slots_of_ready[sample.slot] = slot
@@ -275,8 +276,8 @@
     def _hand_over(self, command: HandOver) -> CommandResult:
         state = self.rounds.get(command.round_name)
         if state is None:
-            return _no_round(command.round_name)
-        self._reopen_over_age(state)
+            return _unknown_round(command.round_name)
+        self._reopen_stale_slots(state)
         for number in state.hand_over_order():
             if state.next_offset >= command.until_offset:
                 break
@@ -287,7 +288,7 @@
         count = max(0, command.until_offset - state.acknowledged)
         return DeliveryPage(state.deliveries[:count], state.version)
 
-    def _reopen_over_age(self, state: RoundState) -> None:
+    def _reopen_stale_slots(self, state: RoundState) -> None:
         for number, sample in list(state.ready.items()):
             if state.age_of(sample) > state.staleness_bound:
                 del state.ready[number]
@@ -299,9 +300,11 @@
     def _acknowledge(self, command: AcknowledgeDeliveries) -> CommandResult:
         state = self.rounds.get(command.round_name)
         if state is None:
-            return _no_round(command.round_name)
+            return _unknown_round(command.round_name)
         if command.offset > state.next_offset:
-            return Refused(ErrorKind.BAD_REQUEST, f"offset {command.offset} is not delivered yet")
+            return Refused(
+                ErrorKind.BAD_REQUEST, f"offset {command.offset} has not been delivered yet"
+            )
         count = command.offset - state.acknowledged
         if count <= 0:
             return Done(duplicate=True)
@@ -312,25 +315,25 @@
     def _publish_version(self, command: PublishVersion) -> CommandResult:
         state = self.rounds.get(command.round_name)
         if state is None:
-            return _no_round(command.round_name)
+            return _unknown_round(command.round_name)
         if command.version <= state.version:
             return Done(duplicate=True)
         step = command.version - state.version
-        too_old = [
+        stale_offsets = [
             delivery.offset
             for delivery in state.deliveries
             if state.age_of(delivery.sample) + step > state.staleness_bound
         ]
-        if too_old:
-            # The trainer has these and has not said that it used them: with the new
-            # version they would break the bound, and they can not be taken back.
+        if stale_offsets:
+            # These are delivered but not acknowledged. They cannot be withdrawn, and with the
+            # new version they would exceed the staleness bound.
             return Refused(
                 ErrorKind.STALE_DELIVERIES,
-                f"deliveries from offset {too_old[0]} must be acknowledged first",
+                f"deliveries from offset {stale_offsets[0]} must be acknowledged first",
             )
         state.version = command.version
         state.handed_over_at_version = 0
-        self._reopen_over_age(state)
+        self._reopen_stale_slots(state)
         return Done()
 
     def _claim_key(self, command: ClaimKey) -> CommandResult:
@@ -342,10 +345,14 @@
             )
             return Done()
         if claim.body_digest != command.body_digest:
-            return Refused(ErrorKind.KEY_REUSED, "the key was used with another body")
+            return Refused(
+                ErrorKind.KEY_REUSED, "the key was already used with a different request body"
+            )
         if claim.request_id == command.request_id or command.repeatable:
             return Done(duplicate=True)
-        return Refused(ErrorKind.KEY_IN_USE, f"admitted before as request {claim.request_id}")
+        return Refused(
+            ErrorKind.KEY_IN_USE, f"the key is already claimed by request {claim.request_id}"
+        )
 
     def _release_key(self, command: ReleaseKey) -> CommandResult:
         claim = self.keys.get(command.key)
@@ -354,7 +361,11 @@
         return Done()
 
     def _expire_keys(self, now_s: float) -> None:
-        """Claims are in order of arrival; wall clocks differ by far less than the retention."""
+        """Removes expired claims.
+
+        Claims are stored in order of arrival, which is close to the order of their timestamps:
+        clock skew between gateways is much smaller than the retention.
+        """
         while self.keys:
             oldest = next(iter(self.keys))
             if self.keys[oldest].claimed_at_s + KEY_RETENTION_S > now_s:
@@ -362,5 +373,5 @@
             del self.keys[oldest]
 
 
-def _no_round(name: str) -> Refused:
-    return Refused(ErrorKind.UNKNOWN_ROUND, f"no round is named {name!r}")
+def _unknown_round(name: str) -> Refused:
+    return Refused(ErrorKind.UNKNOWN_ROUND, f"unknown round {name!r}")
--- a/stileloom/ledger/wire.py
+++ b/stileloom/ledger/wire.py
@@ -1,6 +1,6 @@
-"""Frames between ledger nodes: each carries its sender's name and address.
+"""Frames between ledger nodes; each contains its sender's name and address.
 
-A node that comes back elsewhere, or with another disk, is found by what it sends.
+The sender's address lets receivers find a node that has moved or was restarted elsewhere.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Sender(msgspec.Struct, frozen=True, array_like=True):
-    """Who sent a frame and where answers go."""
+    """The sender of a frame and its reply address."""
 
     node_id: str
     host: str
@@ -44,7 +44,7 @@
 
 
 class LedgerFrame(msgspec.Struct, frozen=True, array_like=True):
-    """One message with its sender."""
+    """A message with its sender."""
 
     sender: Sender
     message: LedgerMessage
@@ -55,7 +55,7 @@
 
 
 class LedgerCodec:
-    """Encodes frames of one ledger node; learns addresses from those of others."""
+    """Encodes and decodes the frames of a ledger node; records the addresses of senders."""
 
     def __init__(self, me: Sender, addresses: PeerAddresses, compress: bool = True) -> None:
         self._me = me
@@ -63,21 +63,21 @@
         self._addresses = addresses
 
     def encode(self, message: object) -> bytes:
-        """A message as a frame."""
+        """Encodes a message as a frame."""
         frame = LedgerFrame(self._me, message)  # type: ignore[arg-type]
         return pack(_ENCODER.encode(frame), self._compress)
 
     def decode(self, frame: bytes) -> tuple[str, LedgerMessage]:
-        """The sender and the message. Raises `msgspec.DecodeError`."""
+        """Decodes a frame to its sender's name and message. Raises `msgspec.DecodeError`."""
         try:
             body = unpack(frame, MAX_FRAME_BYTES)
         except ValueError as error:
             raise msgspec.DecodeError(str(error)) from error
         decoded = _DECODER.decode(body)
         sender = decoded.sender
-        self._addresses.heard_from(sender.node_id, (sender.host, sender.port))
+        self._addresses.record_sender(sender.node_id, (sender.host, sender.port))
         return sender.node_id, decoded.message
 
     def fits_datagram(self, message: object) -> bool:
-        """All go by TCP: their order on a connection saves repeats."""
+        """Always False: messages go over TCP, whose ordering avoids retransmission of entries."""
         return False
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -20,17 +20,17 @@
     def test_a_node_without_a_known_address_is_reached_through_the_unnamed_ones(self) -> None:
         """Once the leader is gone, two followers that never spoke must elect one of them."""
         addresses = PeerAddresses(ME, [ME, LEADER, OTHER])
-        addresses.heard_from("leader", LEADER)
+        addresses.record_sender("leader", LEADER)
         self.assertEqual([OTHER], addresses.targets("other"))
 
     def test_a_known_address_is_the_only_target(self) -> None:
         addresses = PeerAddresses(ME, [ME, LEADER, OTHER])
-        addresses.heard_from("leader", LEADER)
+        addresses.record_sender("leader", LEADER)
         self.assertEqual([LEADER], addresses.targets("leader"))
 
     def test_a_frame_counts_more_than_the_list(self) -> None:
         addresses = PeerAddresses(ME, [])
-        addresses.heard_from("other", OTHER)
+        addresses.record_sender("other", OTHER)
         addresses.listed("other", LEADER)
         self.assertEqual(OTHER, addresses.of("other"))
 
