--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -549,7 +549,7 @@
         "stileloom/ledger/electorate.py",
         "    if log.voters_at(commit_index) == voters:",
         "    if True:",
-        f"{LEDGER}::TwoVoterTest::test_a_change_that_may_not_be_committed_needs_the_set_before_it",
+        f"{LEDGER}::TwoVoterTest::test_a_possibly_uncommitted_change_requires_the_previous_voter_set",
     ),
     Mutant(
         "a greeting from an earlier life proves a disk lost",
@@ -557,7 +557,7 @@
         "stileloom/ledger/electorate.py",
         "        if answer_to and answer_to == self._nonces.get(voter):",
         "        if True:",
-        f"{LEDGER}::TwoVoterTest::test_a_greeting_from_an_earlier_life_proves_nothing",
+        f"{LEDGER}::TwoVoterTest::test_a_delayed_hello_is_no_proof_of_a_lost_disk",
     ),
     Mutant(
         "the commit index is forgotten by a restart",
@@ -565,7 +565,7 @@
         "stileloom/ledger/storage.py",
         "        self._commit_index = max(self._commit_index, record.commit_index)",
         "        pass",
-        f"{LEDGER}::StorageTest::test_what_is_known_to_be_committed_is_known_after_a_restart",
+        f"{LEDGER}::StorageTest::test_the_commit_index_is_recovered_after_a_restart",
     ),
     Mutant(
         "orders leave after their window",
@@ -573,7 +573,7 @@
         "stileloom/jobs/order_window.py",
         "        return self._ledger.may_act() and steady_time() < self._closes_at",
         "        return self._ledger.may_act()",
-        f"{LEDGER}::OwnWindowTest::test_orders_leave_only_within_a_committed_window",
+        f"{LEDGER}::OwnWindowTest::test_orders_are_sent_only_within_a_committed_window",
     ),
     Mutant(
         "a restarted voter breaks the lease of a leader that its log does not know",
@@ -582,7 +582,7 @@
         "    if recovered.hard_state.epoch != last_epoch:",
         "    if False:",
         f"{LEDGER}::OrderWindowTest::"
-        "test_a_restarted_voter_waits_out_the_lease_of_anybody_but_the_candidate",
+        "test_a_restarted_voter_votes_at_once_only_for_the_previous_leader",
     ),
     Mutant(
         "a kept result stands at another position",
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's replica, files and state machine."""
+"""Ledger replica, storage and state machine."""
 
 from __future__ import annotations
 
@@ -61,17 +61,17 @@
 
 
 def entry(index: int, epoch: int = 1) -> Entry:
-    """An entry whose command does little."""
+    """An entry with a simple command."""
     return Entry(index, epoch, RaiseConfigurationFloor(index))
 
 
 def sample(slot: int, version: int, tokens: int = 3) -> Sample:
-    """A sample of one segment."""
+    """A sample with one segment."""
     return Sample(slot, "1.1", f"p{slot}", list(range(tokens)), [Segment(version, 0, tokens)])
 
 
 class ReplicaTest(testtools.TestCase):
-    """One replica, by hand."""
+    """A single replica with hand-written messages."""
 
     def replica(self, me: Voter) -> LedgerReplica:
         """A replica at time 0."""
@@ -102,13 +102,13 @@
     def test_a_vote_of_a_replaced_disk_does_not_count(self) -> None:
         replica = self.replica(VOTERS[0])
         replica.tick(LATER)
-        stranger = Voter("b", "another-disk")
-        replica.handle(LATER, "b", VoteReply(1, stranger, True, trial=True))
+        replaced = Voter("b", "another-disk")
+        replica.handle(LATER, "b", VoteReply(1, replaced, True, trial=True))
         self.assertEqual(0, replica.epoch)
         replica.handle(LATER, "b", VoteReply(1, VOTERS[1], True, trial=True))
         self.assertEqual(1, replica.epoch)
 
-    def test_a_restarted_voter_waits_out_the_lease_it_may_have_granted(self) -> None:
+    def test_a_restarted_voter_does_not_vote_until_a_confirmed_lease_has_expired(self) -> None:
         replica = self.replica(VOTERS[1])
         early = replica.handle(0.1, "a", VoteRequest(1, VOTERS[0], 0, 0, trial=True))
         self.assertEqual([], early)
@@ -126,37 +126,37 @@
 
 
 class VoterSetTest(testtools.TestCase):
-    """Changes of the voter set, and the first one."""
+    """The initial voter set and its changes."""
 
-    def test_a_lost_disk_is_removed_first_and_added_after(self) -> None:
-        renewed = Voter("b", "new")
-        smaller = next_voter_set(VOTERS, [renewed], set(), 3)
+    def test_a_replaced_disk_is_removed_before_the_new_one_is_added(self) -> None:
+        replacement = Voter("b", "new")
+        smaller = next_voter_set(VOTERS, [replacement], set(), 3)
         self.assertEqual([VOTERS[0], VOTERS[2]], smaller)
         assert smaller is not None
         self.assertEqual(
-            [VOTERS[0], renewed, VOTERS[2]], next_voter_set(smaller, [renewed], set(), 3)
+            [VOTERS[0], replacement, VOTERS[2]], next_voter_set(smaller, [replacement], set(), 3)
         )
 
-    def test_a_dead_voter_is_replaced_by_another_node(self) -> None:
-        spare = Voter("d", "disk-d")
-        self.assertIsNone(next_voter_set(VOTERS, [spare], set(), 3))
-        self.assertEqual(VOTERS[:2], next_voter_set(VOTERS, [spare], {"c"}, 3))
+    def test_an_unavailable_voter_is_replaced_by_a_learner(self) -> None:
+        learner = Voter("d", "disk-d")
+        self.assertIsNone(next_voter_set(VOTERS, [learner], set(), 3))
+        self.assertEqual(VOTERS[:2], next_voter_set(VOTERS, [learner], {"c"}, 3))
 
-    def test_the_first_set_is_sealed_at_its_size(self) -> None:
+    def test_the_initial_voter_set_is_sealed_when_complete(self) -> None:
         record = None
         for voter in VOTERS:
             record = enter_voter_set(record, voter, 3)
         assert record is not None
         self.assertTrue(record.sealed)
         self.assertIsNone(enter_voter_set(record, Voter("a", "new"), 3))
-        half = VoterSetRecord(3, VOTERS[:1])
-        again = enter_voter_set(half, Voter("a", "new"), 3)
+        incomplete = VoterSetRecord(3, VOTERS[:1])
+        again = enter_voter_set(incomplete, Voter("a", "new"), 3)
         assert again is not None
         self.assertEqual([Voter("a", "new")], again.voters)
 
 
 class StorageTest(testtools.TestCase):
-    """Files of a replica."""
+    """Files of a replica, across restarts."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -165,12 +165,12 @@
         self.folder = Path(scratch.name)
 
     def storage(self) -> LedgerStorage:
-        """A new process on the same folder."""
+        """A storage on the same folder, as after a restart."""
         storage = LedgerStorage(self.folder)
         self.addCleanup(storage.close)
         return storage
 
-    def test_it_recovers_what_it_wrote(self) -> None:
+    def test_recovery_returns_the_written_state(self) -> None:
         storage = self.storage()
         storage.write_identity(VOTERS[0])
         storage.start_fresh(fresh_ledger(VOTERS))
@@ -188,7 +188,7 @@
         self.assertEqual(HardState(3, VOTERS[0]), recovered.hard_state)
         self.assertEqual([entry(1), entry(2, epoch=3)], recovered.entries)
 
-    def test_what_is_known_to_be_committed_is_known_after_a_restart(self) -> None:
+    def test_the_commit_index_is_recovered_after_a_restart(self) -> None:
         storage = self.storage()
         storage.start_fresh(fresh_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1), entry(2)], commit_index=1)])
@@ -204,33 +204,33 @@
             assert recovered is not None
             self.assertEqual(2, recovered.commit_index)
 
-    def test_a_torn_or_damaged_end_is_cut_off(self) -> None:
+    def test_a_torn_or_corrupt_last_record_is_truncated(self) -> None:
         storage = self.storage()
         storage.start_fresh(fresh_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1)])])
         storage.write([Persist(2, entries=[entry(2)])])
         path = self.folder / JOURNAL_NAME
-        whole = path.read_bytes()
-        for damaged in (whole[:-3], whole[:-1] + b"\xff"):
+        complete = path.read_bytes()
+        for damaged in (complete[:-3], complete[:-1] + b"\xff"):
             path.write_bytes(damaged)
             recovered = self.storage().recover()
             assert recovered is not None
             self.assertEqual([entry(1)], recovered.entries)
 
-    def test_a_write_that_the_disk_refused_is_made_again(self) -> None:
-        """A full disk takes a part of a record, then nothing, and later all of it."""
+    def test_a_failed_write_can_be_retried(self) -> None:
+        """Partial writes and failed syncs must leave no damaged record in the journal."""
         storage = self.storage()
         storage.start_fresh(fresh_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1)])])
         batch = [Persist(2, hard_state=HardState(4, None), entries=[entry(2), entry(3)])]
         real_write = os.write
 
-        def write_a_part(descriptor: int, data: bytes) -> int:
+        def write_partially(descriptor: int, data: bytes) -> int:
             if len(data) > 10:
                 return real_write(descriptor, bytes(data[:10]))
             raise OSError(errno.ENOSPC, "no space")
 
-        with mock.patch("os.write", write_a_part), testtools.ExpectedException(OSError):
+        with mock.patch("os.write", write_partially), testtools.ExpectedException(OSError):
             storage.write(batch)
         with mock.patch("os.fsync", side_effect=OSError(errno.EIO, "bad")):
             self.assertRaises(OSError, storage.write, batch)
@@ -241,7 +241,7 @@
         self.assertEqual([entry(number) for number in (1, 2, 3, 4)], recovered.entries)
         self.assertEqual(4, recovered.hard_state.epoch)
 
-    def test_a_snapshot_that_the_disk_refused_is_made_again(self) -> None:
+    def test_a_failed_snapshot_can_be_retried(self) -> None:
         storage = self.storage()
         fresh = fresh_ledger(VOTERS)
         storage.start_fresh(fresh)
@@ -257,7 +257,7 @@
         self.assertEqual(1, recovered.snapshot.last_index)
         self.assertEqual([entry(2), entry(3)], recovered.entries)
 
-    def test_a_snapshot_takes_the_place_of_the_journal(self) -> None:
+    def test_a_snapshot_replaces_the_journal_entries_it_covers(self) -> None:
         storage = self.storage()
         fresh = fresh_ledger(VOTERS)
         storage.start_fresh(fresh)
@@ -272,7 +272,7 @@
 
 
 class StateTest(testtools.TestCase):
-    """The state machine: every command may come twice."""
+    """The state machine; commands may be applied twice."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -286,20 +286,20 @@
         self.assertEqual(0, again.first_slot)  # type: ignore[union-attr]
         self.assertEqual(4, self.state.rounds["r"].next_slot)
 
-    def test_the_first_sample_of_a_slot_wins(self) -> None:
+    def test_the_first_sample_of_a_slot_is_kept(self) -> None:
         first = self.state.apply(CommitSample("r", sample(0, 1)))
         second = self.state.apply(CommitSample("r", sample(0, 1, tokens=5)))
         self.assertEqual((Done(False), Done(True)), (first, second))
         self.assertEqual(3, len(self.state.rounds["r"].ready[0].tokens))
 
-    def test_malformed_and_foreign_samples_are_refused(self) -> None:
+    def test_malformed_samples_and_samples_of_another_prompt_are_refused(self) -> None:
         gap = Sample(0, "1.1", "p0", [1, 2, 3], [Segment(1, 0, 1), Segment(1, 2, 1)])
         foreign = Sample(0, "1.1", "p1", [1], [Segment(1, 0, 1)])
         for refused in (gap, foreign):
             self.assertIsInstance(self.state.apply(CommitSample("r", refused)), SampleRefused)
         self.assertIn(0, self.state.rounds["r"].open_slots)
 
-    def test_an_over_age_sample_is_refused_and_its_slot_reopens(self) -> None:
+    def test_a_stale_sample_is_refused_and_its_slot_reopens(self) -> None:
         self.state.apply(CommitSample("r", sample(0, 1)))
         self.state.apply(PublishVersion("r", 2))
         self.assertEqual(1, len(self.state.rounds["r"].ready))
@@ -308,7 +308,7 @@
         late = self.state.apply(CommitSample("r", sample(1, 1)))
         self.assertIsInstance(late, SampleRefused)
 
-    def test_deliveries_are_dense_and_read_again_the_same(self) -> None:
+    def test_deliveries_have_contiguous_offsets_and_can_be_read_again(self) -> None:
         for slot in (2, 0, 1):
             self.state.apply(CommitSample("r", sample(slot, 1)))
         first = self.state.apply(HandOver("r", 2))
@@ -321,7 +321,7 @@
         beyond = self.state.apply(AcknowledgeDeliveries("r", 9))
         self.assertIsInstance(beyond, Refused)
 
-    def test_a_version_waits_for_deliveries_that_it_would_make_too_old(self) -> None:
+    def test_a_version_is_refused_while_it_would_make_unacknowledged_deliveries_stale(self) -> None:
         self.state.apply(CommitSample("r", sample(0, 1)))
         self.state.apply(PublishVersion("r", 2))
         self.state.apply(HandOver("r", 1))
@@ -331,7 +331,7 @@
         self.state.apply(AcknowledgeDeliveries("r", 1))
         self.assertEqual(Done(False), self.state.apply(PublishVersion("r", 3)))
 
-    def test_a_key_belongs_to_one_request(self) -> None:
+    def test_an_idempotency_key_is_claimed_by_one_request(self) -> None:
         def claim(request: str, digest: int = 1, repeatable: bool = False, at: float = 0.0):  # type: ignore[no-untyped-def]
             return self.state.apply(ClaimKey("k", digest, request, repeatable, at))
 
@@ -344,37 +344,37 @@
 
 
 class HandOverTest(testtools.TestCase):
-    """A leader that stops gives leadership away instead of letting it lapse."""
+    """Leadership transfer from a leader that stops."""
 
-    def test_the_successor_is_elected_at_once_and_the_old_leader_is_done(self) -> None:
+    def test_the_successor_is_elected_immediately_and_the_old_leader_steps_down(self) -> None:
         replicas = {
             voter.node_id: LedgerReplica(voter, fresh_ledger(VOTERS), random.Random(n), 0.0)
             for n, voter in enumerate(VOTERS)
         }
         now = LATER
 
-        def carry(sender: str, effects: list) -> None:
-            """Delivers messages and makes writes durable at once."""
+        def deliver(sender: str, effects: list) -> None:
+            """Delivers messages immediately; writes are durable immediately."""
             for effect in effects:
                 if isinstance(effect, Persist):
-                    carry(sender, replicas[sender].persisted(now, effect.write_id))
+                    deliver(sender, replicas[sender].persisted(now, effect.write_id))
                 elif isinstance(effect, Send):
                     receiver = replicas[effect.to]
-                    carry(effect.to, receiver.handle(now, sender, effect.message))
+                    deliver(effect.to, receiver.handle(now, sender, effect.message))
 
-        carry("a", replicas["a"].tick(now))
+        deliver("a", replicas["a"].tick(now))
         now += 0.2
-        carry("a", replicas["a"].tick(now))
+        deliver("a", replicas["a"].tick(now))
         self.assertTrue(replicas["a"].may_act(now))
-        # The followers have just heard the leader: without the hand-over they would not vote.
-        carry("a", replicas["a"].hand_over(now))
+        # The followers have a current leader and would not vote without the transfer.
+        deliver("a", replicas["a"].hand_over(now))
         self.assertFalse(replicas["a"].may_act(now))
         leaders = [name for name, replica in replicas.items() if replica.role.value == "leader"]
         self.assertEqual(1, len(leaders))
         self.assertNotEqual(["a"], leaders)
         self.assertGreater(replicas[leaders[0]].epoch, 1)
 
-    def test_only_the_leader_of_the_epoch_hands_over(self) -> None:
+    def test_a_transfer_is_accepted_only_from_the_leader_of_the_epoch(self) -> None:
         replica = LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0)
         replica.handle(LATER, "a", AppendRequest(1, VOTERS[0], 0, 0, [], 0, nonce=1))
         self.assertEqual([], replica.handle(LATER, "c", HandOverMessage(1)))
@@ -382,10 +382,10 @@
 
 
 class ReplicationFlowTest(testtools.TestCase):
-    """How a leader feeds followers that answer late, differ, or do not answer."""
+    """Replication to followers that are slow, have a conflicting log, or do not reply."""
 
     def leader(self) -> tuple[LedgerReplica, float]:
-        """A leader of epoch 1 whose followers have both answered."""
+        """A leader of epoch 1 that both followers have confirmed."""
         replica = LedgerReplica(VOTERS[0], fresh_ledger(VOTERS), random.Random(1), 0.0)
         now = LATER
         replica.tick(now)
@@ -396,7 +396,7 @@
         return replica, now + 0.2
 
     def requests(self, effects: list, to: str) -> list[AppendRequest]:
-        """Append requests to a follower among effects."""
+        """The append requests to a follower among the effects."""
         return [
             effect.message
             for effect in effects
@@ -406,34 +406,34 @@
         ]
 
     def answer_all(self, replica: LedgerReplica, now: float, effects: list) -> None:
-        """Followers agree with all they are sent."""
+        """Followers accept every request."""
         for voter in VOTERS[1:]:
             for request in self.requests(effects, voter.node_id):
                 match = request.previous_index + len(request.entries)
                 reply = AppendReply(request.epoch, voter, True, match, request.nonce)
                 self.answer_all(replica, now, replica.handle(now, voter.node_id, reply))
 
-    def test_mismatches_of_requests_under_way_are_answered_by_one_probe(self) -> None:
-        """A probe for each would send the same entries again and again, without an end."""
+    def test_mismatches_of_pipelined_requests_cause_one_probe(self) -> None:
+        """Guards against resending the same entries for every rejected request."""
         replica, now = self.leader()
-        under_way: list[AppendRequest] = []
+        pipelined: list[AppendRequest] = []
         for number in range(20):
             effects = replica.propose(now, RaiseConfigurationFloor(number), object())
-            under_way += self.requests(effects, "b")
-        self.assertEqual(20, len(under_way))
+            pipelined += self.requests(effects, "b")
+        self.assertEqual(20, len(pipelined))
         answers: list[AppendRequest] = []
-        for request in under_way:
+        for request in pipelined:
             reply = AppendReply(1, VOTERS[1], False, request.previous_index - 1, request.nonce)
             answers += self.requests(replica.handle(now, "b", reply), "b")
         self.assertEqual([0], [len(answer.entries) for answer in answers])
-        # The probe's own answer starts the flow again, from where the logs meet.
+        # The reply to the probe resumes replication after the last common entry.
         (probe,) = answers
-        found = AppendReply(1, VOTERS[1], True, probe.previous_index, probe.nonce)
-        sent = self.requests(replica.handle(now, "b", found), "b")
+        probe_reply = AppendReply(1, VOTERS[1], True, probe.previous_index, probe.nonce)
+        sent = self.requests(replica.handle(now, "b", probe_reply), "b")
         self.assertEqual([probe.previous_index], [request.previous_index for request in sent])
         self.assertGreater(len(sent[0].entries), 0)
 
-    def test_a_follower_that_does_not_answer_gets_no_entries(self) -> None:
+    def test_an_unresponsive_follower_gets_no_entries(self) -> None:
         replica, now = self.leader()
         now += 1.5
         sizes = []
@@ -442,8 +442,10 @@
             sizes += [len(request.entries) for request in self.requests(effects, "b")]
         self.assertEqual([], sizes)
 
-    def silence_c(self, replica: LedgerReplica, now: float) -> tuple[float, list[AppendRequest]]:
-        """Only b answers for two seconds; returns what was sent to d, which stands by."""
+    def run_without_c(
+        self, replica: LedgerReplica, now: float
+    ) -> tuple[float, list[AppendRequest]]:
+        """Runs two seconds in which c does not reply; returns the requests sent to standby d."""
         learner = Voter("d", "disk-d")
         sent: list[AppendRequest] = []
         for _ in range(20):
@@ -456,15 +458,17 @@
                 replica.handle(now, "b", AppendReply(1, VOTERS[1], True, match, request.nonce))
         return now, sent
 
-    def test_a_standby_is_told_who_leads_and_gets_no_log_while_voters_are_sound(self) -> None:
-        """Fourteen disks would else hold fourteen copies of a ledger that needs five."""
+    def test_a_standby_learns_the_leader_but_gets_no_log_while_voters_are_healthy(self) -> None:
+        """Guards against a copy of the ledger on every disk of a large deployment."""
         replica, now = self.leader()
         replica.propose(now, RaiseConfigurationFloor(1), object())
         effects = replica.handle(now, "d", LearnerHello(Voter("d", "disk-d")))
-        (told,) = self.requests(effects, "d")
-        self.assertEqual((1, 0, []), (told.epoch, told.previous_index, told.entries))
+        (announcement,) = self.requests(effects, "d")
+        self.assertEqual(
+            (1, 0, []), (announcement.epoch, announcement.previous_index, announcement.entries)
+        )
         standby = LedgerReplica(Voter("d", "disk-d"), fresh_ledger([]), random.Random(1), now)
-        standby.handle(now, "a", told)
+        standby.handle(now, "a", announcement)
         self.assertEqual("a", standby.leader)
         self.assertTrue(standby.hears_leader(now))
         for _ in range(10):
@@ -473,9 +477,9 @@
             self.assertEqual([], self.requests(effects, "d"))
             self.answer_all(replica, now, effects)
 
-    def test_a_standby_takes_the_place_of_a_silent_voter(self) -> None:
+    def test_a_standby_replaces_an_unresponsive_voter(self) -> None:
         replica, now = self.leader()
-        now, sent = self.silence_c(replica, now)
+        now, sent = self.run_without_c(replica, now)
         self.assertTrue(replica.may_act(now))
         learner = Voter("d", "disk-d")
         probe = sent[-1]
@@ -483,9 +487,9 @@
         replica.tick(now)
         self.assertEqual(["a", "b"], [voter.node_id for voter in replica.voters])
 
-    def test_a_voter_that_came_back_needs_no_standby(self) -> None:
+    def test_a_recovered_voter_is_not_replaced(self) -> None:
         replica, now = self.leader()
-        now, sent = self.silence_c(replica, now)
+        now, sent = self.run_without_c(replica, now)
         self.assertGreater(len(sent), 0)
         for _ in range(3):
             now += 0.2
@@ -494,9 +498,9 @@
         self.assertEqual(VOTERS, replica.voters)
 
     def test_a_leader_without_its_lease_changes_no_voters(self) -> None:
-        """To a node that is cut off the others look silent; it must not act on that."""
+        """A partitioned leader sees all other voters as unresponsive and must not replace them."""
         replica, now = self.leader()
-        now, sent = self.silence_c(replica, now)
+        now, sent = self.run_without_c(replica, now)
         now += 10.0
         learner = Voter("d", "disk-d")
         replica.handle(
@@ -507,7 +511,7 @@
         replica.tick(now)
         self.assertEqual(before, replica.voters)
 
-    def test_the_hint_skips_the_whole_epoch_that_conflicts(self) -> None:
+    def test_the_conflict_hint_skips_all_entries_of_the_conflicting_epoch(self) -> None:
         replica = LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0)
         old = [entry(index, epoch=1) for index in range(1, 31)]
         effects = replica.handle(LATER, "a", AppendRequest(1, VOTERS[0], 0, 0, old, 4, nonce=1))
@@ -521,10 +525,10 @@
 
 
 class TwoVoterTest(testtools.TestCase):
-    """Who goes on when one of two voters lost its disk; `two_voter_spec` is the rule."""
+    """Elections after one of two voters lost its disk; specified in `two_voter_spec`."""
 
     def survivor(self, committed: bool) -> LedgerReplica:
-        """Voter a after a restart; its log takes c out of the voter set."""
+        """Voter a after a restart; its log removes c from the voter set."""
         change = Entry(2, 1, ChangeVoters(VOTERS[:2]))
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(1, VOTERS[0])
@@ -533,7 +537,7 @@
         return LedgerReplica(VOTERS[0], recovered, random.Random(3), 0.0)
 
     def run_elections(self, replica: LedgerReplica, now: float) -> list[Effect]:
-        """Ticks past an election time-out; every write is durable at once."""
+        """Ticks past the election timeout; writes are durable immediately."""
         found: list[Effect] = []
         for _ in range(40):
             now += 0.1
@@ -545,38 +549,38 @@
                     pending += replica.persisted(now, effect.write_id)
         return found
 
-    def question(self, effects: list[Effect]) -> int:
-        """The number that a node is asked with."""
+    def identity_nonce(self, effects: list[Effect]) -> int:
+        """The nonce of the identity question among the effects."""
         (sent,) = [e.message for e in effects if isinstance(e, Send)]
         assert isinstance(sent, IdentityQuestion)
         return sent.number
 
-    def test_a_restarted_voter_of_two_leads_alone_once_the_others_disk_is_proved_lost(self) -> None:
+    def test_a_restarted_voter_of_two_leads_alone_once_the_other_disk_is_proved_lost(self) -> None:
         replica = self.survivor(committed=True)
         self.run_elections(replica, 0.0)
         self.assertNotEqual(ReplicaRole.LEADER, replica.role)
         other = Voter("b", "new-disk")
-        number = self.question(replica.handle(9.0, "b", LearnerHello(other)))
-        replica.handle(9.0, "b", LearnerHello(other, number))
+        nonce = self.identity_nonce(replica.handle(9.0, "b", LearnerHello(other)))
+        replica.handle(9.0, "b", LearnerHello(other, nonce))
         self.run_elections(replica, 9.0)
         self.assertIs(ReplicaRole.LEADER, replica.role)
         self.assertTrue(replica.may_act(14.0))
 
-    def test_a_greeting_from_an_earlier_life_proves_nothing(self) -> None:
+    def test_a_delayed_hello_is_no_proof_of_a_lost_disk(self) -> None:
         replica = self.survivor(committed=True)
         old = Voter("b", "older-disk")
-        number = self.question(replica.handle(1.0, "b", LearnerHello(old)))
-        for answer_to in (0, 7, number + 1):
-            again = self.question(replica.handle(1.0, "b", LearnerHello(old, answer_to)))
-            self.assertEqual(number, again)
+        nonce = self.identity_nonce(replica.handle(1.0, "b", LearnerHello(old)))
+        for answer_to in (0, 7, nonce + 1):
+            again = self.identity_nonce(replica.handle(1.0, "b", LearnerHello(old, answer_to)))
+            self.assertEqual(nonce, again)
         self.run_elections(replica, 1.0)
         self.assertNotEqual(ReplicaRole.LEADER, replica.role)
 
-    def test_a_change_that_may_not_be_committed_needs_the_set_before_it(self) -> None:
+    def test_a_possibly_uncommitted_change_requires_the_previous_voter_set(self) -> None:
         replica = self.survivor(committed=False)
         other = Voter("b", "new-disk")
-        number = self.question(replica.handle(1.0, "b", LearnerHello(other)))
-        replica.handle(1.0, "b", LearnerHello(other, number))
+        nonce = self.identity_nonce(replica.handle(1.0, "b", LearnerHello(other)))
+        replica.handle(1.0, "b", LearnerHello(other, nonce))
         asked = [
             effect.message
             for effect in self.run_elections(replica, 1.0)
@@ -588,7 +592,7 @@
         replica.handle(5.0, "c", VoteReply(2, VOTERS[2], True, trial=False))
         self.assertIs(ReplicaRole.LEADER, replica.role)
 
-    def test_a_voter_that_a_change_leaves_out_goes_on_to_give_votes(self) -> None:
+    def test_a_removed_voter_keeps_granting_votes(self) -> None:
         recovered = fresh_ledger(VOTERS)
         recovered.entries = [entry(1), Entry(2, 1, ChangeVoters(VOTERS[:2]))]
         recovered.commit_index = 2
@@ -601,15 +605,15 @@
         self.assertEqual([], [e for e in sent if isinstance(e.message, VoteRequest)])
 
     def test_a_voter_that_was_left_out_leads_until_a_voter_has_its_longer_log(self) -> None:
-        """Node a lost its disk before b had the last entry, which only c holds."""
+        """Only c holds the last entry; a lost its disk before b received it."""
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(1, VOTERS[0])
         recovered.entries = [entry(1), Entry(2, 1, ChangeVoters(VOTERS[:2])), entry(3)]
         recovered.commit_index = 2
         replica = LedgerReplica(VOTERS[2], recovered, random.Random(3), 0.0)
         other = Voter("a", "new-disk")
-        number = self.question(replica.handle(1.0, "a", LearnerHello(other)))
-        replica.handle(1.0, "a", LearnerHello(other, number))
+        nonce = self.identity_nonce(replica.handle(1.0, "a", LearnerHello(other)))
+        replica.handle(1.0, "a", LearnerHello(other, nonce))
         self.run_elections(replica, 1.0)
         now = 5.0
         replica.handle(now, "b", VoteReply(2, VOTERS[1], True, trial=True))
@@ -618,10 +622,10 @@
         requests = [e.message for e in effects if isinstance(e, Send) and e.to == "b"]
         (start,) = [m for m in requests if isinstance(m, AppendRequest)]
         replica.handle(now, "b", AppendReply(2, VOTERS[1], True, 4, start.nonce))
-        left = [e.message for e in replica.tick(now + 0.05) if isinstance(e, Send)]
-        self.assertEqual([HandOverMessage(2)], left)
+        sent = [e.message for e in replica.tick(now + 0.05) if isinstance(e, Send)]
+        self.assertEqual([HandOverMessage(2)], sent)
 
-    def test_only_a_node_outside_the_voter_set_answers_who_it_is(self) -> None:
+    def test_only_a_node_outside_the_voter_set_answers_an_identity_question(self) -> None:
         question = IdentityQuestion(5)
         self.assertEqual(
             [],
@@ -643,9 +647,9 @@
 
 
 class OrderWindowTest(testtools.TestCase):
-    """When a new leader may give orders: a lease after the last window of another one."""
+    """A new leader sends orders one lease after another leader's last window at the earliest."""
 
-    def test_it_waits_from_when_it_learned_of_the_window_not_from_its_election(self) -> None:
+    def test_the_wait_starts_when_the_window_is_observed_not_at_the_election(self) -> None:
         windows = OrderWindows()
         self.assertEqual(float("-inf"), windows.orders_from("", "b", LEASE_S))
         windows.learned(1, 10.0)
@@ -655,18 +659,18 @@
         windows.learned(2, 12.5)
         self.assertEqual(expected + 2.5, windows.orders_from("a", "b", LEASE_S))
 
-    def test_it_does_not_wait_for_itself(self) -> None:
+    def test_a_leader_does_not_wait_for_its_own_window(self) -> None:
         windows = OrderWindows()
         windows.learned(7, 10.0)
         self.assertEqual(float("-inf"), windows.orders_from("b", "b", LEASE_S))
 
-    def test_the_state_names_the_newest_holder(self) -> None:
+    def test_the_state_records_the_newest_window_holder(self) -> None:
         state = LedgerState()
         for holder in ("a", "b"):
             state.apply(OpenOrderWindow(holder))
         self.assertEqual((2, "b"), (state.order_windows, state.last_order_holder))
 
-    def test_after_a_restart_of_all_the_node_that_led_last_asks_first(self) -> None:
+    def test_after_a_full_restart_the_previous_leader_campaigns_first(self) -> None:
         recovered = self.restarted(epoch=1)
         due = {}
         for voter in VOTERS:
@@ -678,27 +682,27 @@
         self.assertGreater(min(due["a"], due["c"]) * 0.01, 1.0)
 
     def restarted(self, epoch: int) -> RecoveredLedger:
-        """What a disk holds after b led epoch 1, and this voter's own epoch."""
+        """Recovered state of a voter after b led epoch 1; `epoch` is the voter's own epoch."""
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(epoch, None)
         recovered.entries = [Entry(1, 1, StartEpoch("b"))]
         return recovered
 
     def granted(self, epoch: int, candidate: Voter) -> bool:
-        """Whether c, just restarted, would give its vote at once."""
+        """Whether c grants its vote directly after a restart."""
         replica = LedgerReplica(VOTERS[2], self.restarted(epoch), random.Random(4), 0.0)
         request = VoteRequest(epoch + 1, candidate, 1, 1, trial=True)
         effects = replica.handle(0.05, candidate.node_id, request)
         replies = [e.message for e in effects if isinstance(e, Send)]
         return any(isinstance(m, VoteReply) and m.granted for m in replies)
 
-    def test_a_restarted_voter_waits_out_the_lease_of_anybody_but_the_candidate(self) -> None:
+    def test_a_restarted_voter_votes_at_once_only_for_the_previous_leader(self) -> None:
         self.assertTrue(self.granted(1, VOTERS[1]))
         self.assertFalse(self.granted(1, VOTERS[0]))
-        # In epoch 2 somebody else may have led, and this voter may have confirmed that lease.
+        # Another node may have led in epoch 2, and this voter may have confirmed its lease.
         self.assertFalse(self.granted(2, VOTERS[1]))
 
-    def test_a_voter_that_heard_a_leader_since_waits_for_that_one(self) -> None:
+    def test_a_voter_with_a_newer_leader_does_not_vote_for_the_previous_one(self) -> None:
         replica = LedgerReplica(VOTERS[2], self.restarted(1), random.Random(4), 0.0)
         replica.handle(0.1, "a", AppendRequest(2, VOTERS[0], 1, 1, [], 0, nonce=1))
         request = VoteRequest(3, VOTERS[1], 1, 1, trial=True)
@@ -706,19 +710,19 @@
 
 
 class FakeLedger:
-    """A leader's ledger whose commits take as long as the test says."""
+    """A leader's ledger with switchable lease and commits."""
 
     def __init__(self) -> None:
-        self.acts = True
+        self.has_lease = True
         self.proposed: list[Command] = []
         self.fails = False
 
     def may_act(self) -> bool:
-        """Whether the lease holds."""
-        return self.acts
+        """Whether the lease is valid."""
+        return self.has_lease
 
     async def propose(self, command: Command) -> CommandResult:
-        """Commits at once."""
+        """Commits immediately, or raises if `fails` is set."""
         if self.fails:
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "lost")
         self.proposed.append(command)
@@ -726,7 +730,7 @@
 
 
 class OwnWindowTest(testtools.TestCase):
-    """The window that a leader opens for its own orders."""
+    """Opening and expiry of a leader's own order window."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -737,7 +741,7 @@
         self.addCleanup(clock.stop)
         self.window = OrderWindow("a", self.ledger)
 
-    def test_orders_leave_only_within_a_committed_window(self) -> None:
+    def test_orders_are_sent_only_within_a_committed_window(self) -> None:
         self.assertFalse(self.window.is_open())
         self.assertTrue(asyncio.run(self.window.open()))
         self.assertTrue(asyncio.run(self.window.open()))
@@ -747,11 +751,11 @@
         self.assertTrue(asyncio.run(self.window.open()))
         self.assertEqual(2, len(self.ledger.proposed))
 
-    def test_without_the_lease_or_the_commit_nothing_leaves(self) -> None:
+    def test_no_orders_are_sent_without_the_lease_or_the_commit(self) -> None:
         self.ledger.fails = True
         self.assertFalse(asyncio.run(self.window.open()))
         self.ledger.fails = False
         self.assertTrue(asyncio.run(self.window.open()))
-        self.ledger.acts = False
+        self.ledger.has_lease = False
         self.assertFalse(self.window.is_open())
         self.assertFalse(asyncio.run(self.window.open()))
