--- a/tests/lease_spec.py
+++ b/tests/lease_spec.py
@@ -1,21 +1,21 @@
-"""A small specification of the leader's lease: elections, hand-over, restarts.
-
-Logs are left out (`tests/ledger_spec.py` has them). Time is abstract: a confirmation that a leader
-counts may lapse at any step, and the promise behind it lapses at its voter only after that, since
-a lease is shorter than the time for which a voter sticks to its leader. Actions are named after
-the code's messages:
-
-    Confirm          a voter answers a leader's heartbeat and sticks to it
-    LapseConfirmed   a leader counts a confirmation no more
-    LapsePromise     a voter sticks to its leader no more
-    Campaign         a replica that sticks to nobody asks for votes
-    HandOver         a leader stops, and asks a follower to be elected now
-    TakeOver         the follower gets that and asks for votes that break promises
-    Vote             a replica answers a request for its vote
-    Restart          a replica forgets its role, and for how long it has to stick; it sticks to
-                     nobody but the leader that its disk is sure of
-
-Invariant: at most one replica may act, which is a leader with confirmations of a majority.
+"""Specification of the leader's lease: elections, hand-over and restarts.
+
+Logs are omitted (see `tests/ledger_spec.py`). A promise is a voter's commitment to elect no other
+leader for a time. Time is abstract: a confirmation held by a leader may expire at any step, and
+the matching promise expires at the voter only later, because a lease is shorter than a promise.
+Actions are named after the messages in the code:
+
+    Confirm          a voter replies to a leader's heartbeat and makes a promise
+    LapseConfirmed   a confirmation expires at the leader
+    LapsePromise     a promise expires at the voter
+    Campaign         a replica without a promise requests votes
+    HandOver         a leader steps down and asks a follower to start an election
+    TakeOver         the follower requests votes that override promises
+    Vote             a replica replies to a vote request
+    Restart          a replica loses its role and the end of its promise; until a full promise
+                     period has passed it votes only for the leader on its disk, if current
+
+Invariant: at most one replica is active, that is, a leader with confirmations of a majority.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 
 REPLICAS = 3
 MAJORITY = 2
-NOBODY = -1
+NO_NODE = -1
 
 
 class LeaseRules(msgspec.Struct, frozen=True):
-    """The rules as the code has them; each one switched off must be refuted."""
+    """Rules of the code; the checker must refute the protocol without any one of them."""
 
     stops_before_hand_over: bool = True
-    hand_over_is_of_this_epoch: bool = True
-    promises_bind: bool = True
+    hand_over_matches_epoch: bool = True
+    promises_are_binding: bool = True
     restart_waits: bool = True
-    disk_is_sure: bool = True
-    """The leader on disk is that of the epoch on disk, not of an earlier one."""
+    disk_leader_is_current: bool = True
+    """The leader on disk is used only if it belongs to the epoch on disk."""
 
 
 class LeaseBounds(msgspec.Struct, frozen=True):
-    """How far the checker goes."""
+    """Limits of the explored state space."""
 
     epochs: int = 3
     hand_overs: int = 1
@@ -55,81 +55,81 @@
     """One state. Tuples are indexed by replica."""
 
     epoch: tuple[int, ...]
-    voted: tuple[int, ...]
-    """For whom in this epoch, or nobody."""
+    voted_for: tuple[int, ...]
+    """The candidate voted for in this epoch, or none."""
     candidate: tuple[bool, ...]
-    """Whether it counts votes for this epoch."""
-    leads: tuple[bool, ...]
-    follows: tuple[int, ...]
-    """The leader that a replica knows in its epoch, or nobody."""
-    logged: tuple[tuple[int, int], ...]
-    """On disk: the last leader that a replica followed, and its epoch."""
-    before: tuple[int, ...]
-    """The leader that a restarted replica may vote for at once, or nobody."""
+    """Whether it is a candidate in this epoch."""
+    is_leader: tuple[bool, ...]
+    known_leader: tuple[int, ...]
+    """The leader that a replica knows in its epoch, or none."""
+    logged_leader: tuple[tuple[int, int], ...]
+    """Recorded on disk: the last leader that a replica followed, and its epoch."""
+    previous_leader: tuple[int, ...]
+    """The leader that a restarted replica may vote for immediately, or none."""
     confirmed: tuple[frozenset[int], ...]
-    """The voters whose confirmations a leader still counts."""
+    """The voters whose confirmations are valid at a leader."""
     promise: tuple[bool, ...]
-    """Whether a voter sticks to a leader."""
-    backs: tuple[frozenset[int], ...]
-    """The leaders that may still count a confirmation of this voter."""
+    """Whether a voter is bound by a promise."""
+    confirmed_leaders: tuple[frozenset[int], ...]
+    """The leaders at which a confirmation of this voter may still be valid."""
     requests: frozenset[tuple[int, int, bool]]
-    """Requests for votes on their way: epoch, candidate, whether they break promises."""
+    """Vote requests in transit: epoch, candidate, whether they override promises."""
     votes: frozenset[tuple[int, int, int]]
     """Epoch, candidate, voter."""
     hand_overs: frozenset[tuple[int, int, int]]
-    """Hand-overs on their way: epoch, leader, successor."""
+    """Hand-overs in transit: epoch, leader, successor."""
     hand_overs_left: int
     restarts_left: int
 
 
-def acting(state: Spec) -> list[int]:
-    """The replicas that may act."""
+def active_leaders(state: Spec) -> list[int]:
+    """The active leaders."""
     return [
         replica
         for replica in range(REPLICAS)
-        if state.leads[replica] and len(state.confirmed[replica] | {replica}) >= MAJORITY
+        if state.is_leader[replica] and len(state.confirmed[replica] | {replica}) >= MAJORITY
     ]
 
 
 def enter_epoch(state: Spec, replica: int, epoch: int) -> Spec:
-    """A replica steps down into a later epoch."""
+    """A replica steps down and enters a later epoch."""
     return state._replace(
         epoch=put(state.epoch, replica, epoch),
-        voted=put(state.voted, replica, NOBODY),
-        follows=put(state.follows, replica, NOBODY),
+        voted_for=put(state.voted_for, replica, NO_NODE),
+        known_leader=put(state.known_leader, replica, NO_NODE),
         candidate=put(state.candidate, replica, False),
-        leads=put(state.leads, replica, False),
+        is_leader=put(state.is_leader, replica, False),
         confirmed=put(state.confirmed, replica, frozenset()),
-        backs=tuple(leaders - {replica} for leaders in state.backs),
+        confirmed_leaders=tuple(leaders - {replica} for leaders in state.confirmed_leaders),
     )
 
 
-def campaign(state: Spec, replica: int, breaks_promises: bool) -> Spec:
-    """A replica asks for votes in the next epoch."""
+def campaign(state: Spec, replica: int, overrides_promises: bool) -> Spec:
+    """A replica requests votes in the next epoch."""
     epoch = state.epoch[replica] + 1
     entered = enter_epoch(state, replica, epoch)
     return entered._replace(
-        voted=put(entered.voted, replica, replica),
+        voted_for=put(entered.voted_for, replica, replica),
         candidate=put(entered.candidate, replica, True),
-        requests=entered.requests | {(epoch, replica, breaks_promises)},
+        requests=entered.requests | {(epoch, replica, overrides_promises)},
         votes=entered.votes | {(epoch, replica, replica)},
     )
 
 
 def make_lease_protocol(bounds: LeaseBounds, rules: LeaseRules) -> Protocol:
-    """The protocol within bounds, or a mutation of it."""
-    # Replica 0 has just been elected by 1.
+    """The protocol within these bounds, under these rules."""
+    # Replica 0 was just elected with the vote of replica 1.
     initial = Spec(
         epoch=(1, 1, 0),
-        voted=(0, 0, NOBODY),
+        voted_for=(0, 0, NO_NODE),
         candidate=(False,) * REPLICAS,
-        leads=(True, False, False),
-        follows=(0, NOBODY, NOBODY),
-        logged=((0, 1), (NOBODY, 0), (NOBODY, 0)),
-        before=(NOBODY,) * REPLICAS,
+        is_leader=(True, False, False),
+        known_leader=(0, NO_NODE, NO_NODE),
+        logged_leader=((0, 1), (NO_NODE, 0), (NO_NODE, 0)),
+        previous_leader=(NO_NODE,) * REPLICAS,
         confirmed=(frozenset(),) * REPLICAS,
         promise=(False,) * REPLICAS,
-        backs=(frozenset(),) * REPLICAS,
+        confirmed_leaders=(frozenset(),) * REPLICAS,
         requests=frozenset(),
         votes=frozenset(),
         hand_overs=frozenset(),
@@ -149,9 +149,9 @@
 
     def elections(state: Spec, replica: int) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
-        sticks = state.promise[replica] and rules.promises_bind
-        sticks = sticks and state.before[replica] != replica
-        may_campaign = not state.leads[replica] and not sticks
+        bound = state.promise[replica] and rules.promises_are_binding
+        bound = bound and state.previous_leader[replica] != replica
+        may_campaign = not state.is_leader[replica] and not bound
         if may_campaign and state.epoch[replica] < bounds.epochs:
             found.append((f"Campaign({replica})", campaign(state, replica, False)))
         for request in state.requests:
@@ -161,28 +161,30 @@
             voter for at, candidate, voter in state.votes if (at, candidate) == (epoch, replica)
         }
         if state.candidate[replica] and len(voters) >= MAJORITY:
-            leads = state._replace(
+            elected = state._replace(
                 candidate=put(state.candidate, replica, False),
-                leads=put(state.leads, replica, True),
-                follows=put(state.follows, replica, replica),
-                logged=put(state.logged, replica, (replica, epoch)),
-                before=put(state.before, replica, NOBODY),
+                is_leader=put(state.is_leader, replica, True),
+                known_leader=put(state.known_leader, replica, replica),
+                logged_leader=put(state.logged_leader, replica, (replica, epoch)),
+                previous_leader=put(state.previous_leader, replica, NO_NODE),
             )
-            found.append((f"Win({replica})", leads))
+            found.append((f"Win({replica})", elected))
         return found
 
     def vote(state: Spec, replica: int, request: tuple[int, int, bool]) -> list[tuple[str, Spec]]:
-        epoch, candidate, breaks_promises = request
-        bound = state.promise[replica] and state.before[replica] != candidate
-        bound = bound or replica in acting(state)
-        if candidate == replica or (bound and rules.promises_bind and not breaks_promises):
+        epoch, candidate, overrides_promises = request
+        bound = state.promise[replica] and state.previous_leader[replica] != candidate
+        bound = bound or replica in active_leaders(state)
+        if candidate == replica or (
+            bound and rules.promises_are_binding and not overrides_promises
+        ):
             return []
         if epoch > state.epoch[replica]:
             state = enter_epoch(state, replica, epoch)
-        if epoch != state.epoch[replica] or state.voted[replica] not in (NOBODY, candidate):
+        if epoch != state.epoch[replica] or state.voted_for[replica] not in (NO_NODE, candidate):
             return [("Vote: none", state)]
         given = state._replace(
-            voted=put(state.voted, replica, candidate),
+            voted_for=put(state.voted_for, replica, candidate),
             votes=state.votes | {(epoch, candidate, replica)},
         )
         return [(f"Vote({replica} for {candidate})", given)]
@@ -190,39 +192,43 @@
     def leases(state: Spec, replica: int) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
         for voter in set(range(REPLICAS)) - {replica}:
-            if state.leads[replica] and state.epoch[voter] <= state.epoch[replica]:
+            if state.is_leader[replica] and state.epoch[voter] <= state.epoch[replica]:
                 confirmed = confirm(state, replica, voter)
                 found.append((f"Confirm({replica}, {voter})", confirmed))
                 if bounds.restarts:
-                    # Its log does not meet the leader's yet: only the epoch is on its disk.
-                    unlogged = confirmed._replace(logged=state.logged)
+                    # Its log does not match the leader's yet; only the epoch is on its disk.
+                    unlogged = confirmed._replace(logged_leader=state.logged_leader)
                     found.append((f"ConfirmUnlogged({replica}, {voter})", unlogged))
         for voter in state.confirmed[replica]:
             lapsed = state._replace(
                 confirmed=put(state.confirmed, replica, state.confirmed[replica] - {voter}),
-                backs=put(state.backs, voter, state.backs[voter] - {replica}),
+                confirmed_leaders=put(
+                    state.confirmed_leaders, voter, state.confirmed_leaders[voter] - {replica}
+                ),
             )
             found.append((f"LapseConfirmed({replica}, {voter})", lapsed))
-        if state.promise[replica] and not state.backs[replica]:
-            free = state._replace(promise=put(state.promise, replica, False))
-            found.append((f"LapsePromise({replica})", free))
+        if state.promise[replica] and not state.confirmed_leaders[replica]:
+            released = state._replace(promise=put(state.promise, replica, False))
+            found.append((f"LapsePromise({replica})", released))
         return found
 
     def confirm(state: Spec, leader: int, voter: int) -> Spec:
         if state.epoch[voter] < state.epoch[leader]:
             state = enter_epoch(state, voter, state.epoch[leader])
         return state._replace(
-            follows=put(state.follows, voter, leader),
-            logged=put(state.logged, voter, (leader, state.epoch[leader])),
-            before=put(state.before, voter, NOBODY),
+            known_leader=put(state.known_leader, voter, leader),
+            logged_leader=put(state.logged_leader, voter, (leader, state.epoch[leader])),
+            previous_leader=put(state.previous_leader, voter, NO_NODE),
             promise=put(state.promise, voter, True),
-            backs=put(state.backs, voter, state.backs[voter] | {leader}),
+            confirmed_leaders=put(
+                state.confirmed_leaders, voter, state.confirmed_leaders[voter] | {leader}
+            ),
             confirmed=put(state.confirmed, leader, state.confirmed[leader] | {voter}),
         )
 
     def hand_overs(state: Spec, replica: int) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
-        if state.leads[replica] and state.hand_overs_left:
+        if state.is_leader[replica] and state.hand_overs_left:
             for successor in set(range(REPLICAS)) - {replica}:
                 message = (state.epoch[replica], replica, successor)
                 sent = state._replace(
@@ -231,16 +237,18 @@
                 )
                 if rules.stops_before_hand_over:
                     sent = sent._replace(
-                        leads=put(sent.leads, replica, False),
+                        is_leader=put(sent.is_leader, replica, False),
                         confirmed=put(sent.confirmed, replica, frozenset()),
-                        backs=tuple(leaders - {replica} for leaders in sent.backs),
+                        confirmed_leaders=tuple(
+                            leaders - {replica} for leaders in sent.confirmed_leaders
+                        ),
                     )
                 found.append((f"HandOver({replica}, {successor})", sent))
         for message in state.hand_overs:
             epoch, leader, successor = message
-            current = (epoch, leader) == (state.epoch[replica], state.follows[replica])
-            follows_it = current or not rules.hand_over_is_of_this_epoch
-            if successor == replica and follows_it and state.epoch[replica] < bounds.epochs:
+            current = (epoch, leader) == (state.epoch[replica], state.known_leader[replica])
+            is_valid = current or not rules.hand_over_matches_epoch
+            if successor == replica and is_valid and state.epoch[replica] < bounds.epochs:
                 taken = state._replace(hand_overs=state.hand_overs - {message})
                 found.append((f"TakeOver({replica})", campaign(taken, replica, True)))
         return found
@@ -248,16 +256,16 @@
     def restarts(state: Spec, replica: int) -> list[tuple[str, Spec]]:
         if not state.restarts_left:
             return []
-        leader, epoch = state.logged[replica]
-        is_sure = epoch == state.epoch[replica] or not rules.disk_is_sure
+        leader, epoch = state.logged_leader[replica]
+        is_current = epoch == state.epoch[replica] or not rules.disk_leader_is_current
         restarted = state._replace(
-            before=put(state.before, replica, leader if is_sure else NOBODY),
+            previous_leader=put(state.previous_leader, replica, leader if is_current else NO_NODE),
             candidate=put(state.candidate, replica, False),
-            leads=put(state.leads, replica, False),
-            follows=put(state.follows, replica, NOBODY),
+            is_leader=put(state.is_leader, replica, False),
+            known_leader=put(state.known_leader, replica, NO_NODE),
             confirmed=put(state.confirmed, replica, frozenset()),
-            backs=tuple(leaders - {replica} for leaders in state.backs),
-            # Whether it confirmed is not on its disk: it sticks for a whole term, as if it had.
+            confirmed_leaders=tuple(leaders - {replica} for leaders in state.confirmed_leaders),
+            # Confirmations are not on disk, so it assumes that it made a promise.
             promise=put(state.promise, replica, rules.restart_waits),
             restarts_left=state.restarts_left - 1,
         )
@@ -270,6 +278,6 @@
         initial=tuple(initial),
         transitions=transitions,
         invariants={
-            "one_may_act": lambda state: len(acting(Spec(**state))) <= 1,
+            "at_most_one_active_leader": lambda state: len(active_leaders(Spec(**state))) <= 1,
         },
     )
--- a/tests/ledger_spec.py
+++ b/tests/ledger_spec.py
@@ -1,15 +1,15 @@
-"""A small specification of the ledger: epochs, votes with disk identities, commitment.
+"""Specification of the ledger: epochs, votes with disk identities, commits.
 
-Three voters and one spare disk that may take the place of a lost one. Each entry of a log is
-the epoch that wrote it. Actions are named after the code's messages and effects:
+There are three voters and one spare disk that may replace a lost one. A log entry is represented
+by the epoch that wrote it. Actions are named after the messages and effects in the code:
 
     StartElection   a voter raises its epoch and votes for itself (durable)
     VoteReply       a voter grants its vote in an epoch
     BecomeLeader    a majority of the voter set has granted
     Append          the leader adds an entry of its epoch
-    AppendRequest   a follower takes the leader's log up to some length (durable)
-    LearnEpoch      a node hears of a higher epoch
-    Commit          an entry of the leader's epoch stands on a majority
+    AppendRequest   a follower copies the leader's log up to some length (durable)
+    LearnEpoch      a node receives a higher epoch
+    Commit          an entry of the leader's epoch is stored on a majority
     LoseDisk        a voter's disk is replaced: its identity is not in the voter set
     ChangeVoters    the leader removes the lost identity, then adds the new one
 
@@ -23,7 +23,7 @@
 from minicheck import Protocol
 
 NODES = 3
-NOBODY = -1
+NO_NODE = -1
 LOST_IDENTITY = -2
 
 
@@ -32,25 +32,25 @@
 
     epochs: tuple[int, ...]
     votes: tuple[int, ...]
-    """Whom each node voted for in its epoch."""
+    """The node that each node voted for in its epoch."""
     logs: tuple[tuple[int, ...], ...]
     leaders: tuple[int, ...]
     """By epoch, the node that leads it."""
     second_leader: bool
-    """An epoch got two leaders."""
+    """Two leaders were elected in one epoch."""
     committed: tuple[int, ...]
-    """The longest log prefix that was ever committed."""
-    lost: bool
-    """A leader exists whose log does not hold what was committed."""
+    """The longest log prefix committed so far."""
+    committed_lost: bool
+    """A leader was elected whose log lacks committed entries."""
     disk_lost: tuple[bool, ...]
     """The node's disk was replaced and its identity is not in the voter set."""
     losses: int
     candidates: tuple[bool, ...]
-    """Who asks for votes; following a leader of the same epoch ends it."""
+    """Nodes with an election in progress; following a leader of the same epoch ends it."""
 
 
 class Bounds(NamedTuple):
-    """How far the states are explored."""
+    """Limits of the explored state space."""
 
     max_epoch: int = 2
     max_log: int = 2
@@ -58,15 +58,15 @@
 
 
 def initial_state(bounds: Bounds) -> Spec:
-    """Three voters that know nothing."""
+    """Three voters with empty logs."""
     return Spec(
         epochs=(0,) * NODES,
-        votes=(NOBODY,) * NODES,
+        votes=(NO_NODE,) * NODES,
         logs=((),) * NODES,
-        leaders=(NOBODY,) * (bounds.max_epoch + 1),
+        leaders=(NO_NODE,) * (bounds.max_epoch + 1),
         second_leader=False,
         committed=(),
-        lost=False,
+        committed_lost=False,
         disk_lost=(False,) * NODES,
         losses=0,
         candidates=(False,) * NODES,
@@ -74,7 +74,7 @@
 
 
 def put(values: tuple, index: int, value: object) -> tuple:
-    """A tuple with one element replaced."""
+    """A copy of the tuple with one element replaced."""
     return (*values[:index], value, *values[index + 1 :])
 
 
@@ -87,10 +87,10 @@
 def make_ledger_protocol(
     bounds: Bounds, amnesia: bool = False, count_only_own_epoch: bool = True
 ) -> Protocol:
-    """The protocol, or a mutation of it that the checker must refute.
+    """The protocol, or a faulty variant that the checker must refute.
 
-    `amnesia` lets a replaced disk vote as if nothing was lost; without
-    `count_only_own_epoch` a leader commits entries of earlier epochs by counting.
+    `amnesia` lets a node vote after its disk was replaced; without `count_only_own_epoch` a leader
+    commits entries of earlier epochs by counting replicas.
     """
 
     def may_vote(state: Spec, node: int) -> bool:
@@ -101,8 +101,8 @@
         found: list[tuple[str, tuple]] = []
         for node in range(NODES):
             found += elections(state, node)
-            found += leading(state, node)
-            found += learned(state, node)
+            found += leader_actions(state, node)
+            found += learn_epochs(state, node)
             if state.losses < bounds.max_losses:
                 found.append((f"LoseDisk({node})", lose_disk(state, node)))
         return found
@@ -126,26 +126,26 @@
             if state.epochs[voter] == epoch and state.votes[voter] == node
         )
         if votes * 2 > NODES and state.candidates[node] and state.leaders[epoch] != node:
-            holds = state.logs[node][: len(state.committed)] == state.committed
-            led = state._replace(
+            has_committed = state.logs[node][: len(state.committed)] == state.committed
+            elected = state._replace(
                 leaders=put(state.leaders, epoch, node),
-                second_leader=state.second_leader or state.leaders[epoch] != NOBODY,
-                lost=state.lost or not holds,
+                second_leader=state.second_leader or state.leaders[epoch] != NO_NODE,
+                committed_lost=state.committed_lost or not has_committed,
                 candidates=put(state.candidates, node, False),
             )
-            found.append((f"BecomeLeader({node})", tuple(led)))
+            found.append((f"BecomeLeader({node})", tuple(elected)))
         return found
 
     def votes_for(state: Spec, node: int, voter: int) -> list[tuple[str, tuple]]:
-        """A grant in the candidate's epoch, or to a late request of an earlier one."""
+        """Votes in the candidate's epoch, or for a delayed request of an earlier epoch."""
         found: list[tuple[str, tuple]] = []
-        own = state.votes[node] == node
+        voted_for_self = state.votes[node] == node
         for epoch in range(max(1, state.epochs[voter]), state.epochs[node] + 1):
-            if epoch == state.epochs[node] and not own:
+            if epoch == state.epochs[node] and not voted_for_self:
                 continue
             newer = state.epochs[voter] < epoch
-            free = newer or state.votes[voter] in (NOBODY, node)
-            if free and up_to_date(state.logs[node], state.logs[voter]):
+            may_grant = newer or state.votes[voter] in (NO_NODE, node)
+            if may_grant and up_to_date(state.logs[node], state.logs[voter]):
                 granted = state._replace(
                     epochs=put(state.epochs, voter, epoch),
                     votes=put(state.votes, voter, node),
@@ -155,15 +155,15 @@
                     found.append((f"VoteReply({voter},{node})", tuple(granted)))
         return found
 
-    def leading(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def leader_actions(state: Spec, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
         if not epoch or state.leaders[epoch] != node:
             return found
         log = state.logs[node]
         if len(log) < bounds.max_log:
-            grown = state._replace(logs=put(state.logs, node, (*log, epoch)))
-            found.append((f"Append({node})", tuple(grown)))
+            appended = state._replace(logs=put(state.logs, node, (*log, epoch)))
+            found.append((f"Append({node})", tuple(appended)))
         for follower in range(NODES):
             if follower != node and state.epochs[follower] <= epoch:
                 found += appends(state, node, follower)
@@ -174,29 +174,29 @@
     def appends(state: Spec, node: int, follower: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch, log = state.epochs[node], state.logs[node]
-        vote = state.votes[follower] if state.epochs[follower] == epoch else NOBODY
+        vote = state.votes[follower] if state.epochs[follower] == epoch else NO_NODE
         for length in range(len(log) + 1):
-            held = state.logs[follower]
-            taken = held if held[:length] == log[:length] else log[:length]
+            old_log = state.logs[follower]
+            new_log = old_log if old_log[:length] == log[:length] else log[:length]
             followed = state._replace(
                 epochs=put(state.epochs, follower, epoch),
                 votes=put(state.votes, follower, vote),
-                logs=put(state.logs, follower, taken),
+                logs=put(state.logs, follower, new_log),
                 candidates=put(state.candidates, follower, False),
             )
             if followed != state:
                 found.append((f"AppendRequest({node},{follower})", tuple(followed)))
         return found
 
-    def learned(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def learn_epochs(state: Spec, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         for epoch in {other for other in state.epochs if other > state.epochs[node]}:
-            heard = state._replace(
+            updated = state._replace(
                 epochs=put(state.epochs, node, epoch),
-                votes=put(state.votes, node, NOBODY),
+                votes=put(state.votes, node, NO_NODE),
                 candidates=put(state.candidates, node, False),
             )
-            found.append((f"LearnEpoch({node})", tuple(heard)))
+            found.append((f"LearnEpoch({node})", tuple(updated)))
         return found
 
     def commits(
@@ -209,23 +209,23 @@
                 for other in range(NODES)
                 if may_vote(state, other) and state.logs[other][:length] == log[:length]
             )
-            own = log[length - 1] == epoch or not count_only_own_epoch
-            if holders * 2 > NODES and own:
-                done = state._replace(committed=log[:length])
-                found.append((f"Commit({node},{length})", tuple(done)))
+            committable = log[length - 1] == epoch or not count_only_own_epoch
+            if holders * 2 > NODES and committable:
+                advanced = state._replace(committed=log[:length])
+                found.append((f"Commit({node},{length})", tuple(advanced)))
         return found
 
     def voter_changes(state: Spec, node: int, log: tuple[int, ...]) -> list[tuple[str, tuple]]:
-        """The new identity votes once it holds the whole log of a leader that commits.
+        """The new identity votes once it has the complete log of a leader that commits.
 
-        The lost identity is removed first: the set of two that remains commits only with
-        both, so both follow this leader in its epoch and hold its log.
+        The lost identity is removed first. The remaining set of two commits only with both nodes,
+        so both follow this leader in its epoch and have its log.
         """
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
-        own = bool(log) and state.committed == log and log[-1] == epoch
+        log_committed = bool(log) and state.committed == log and log[-1] == epoch
         remaining = [voter for voter in range(NODES) if not state.disk_lost[voter]]
-        settled = own and all(
+        settled = log_committed and all(
             state.epochs[voter] == epoch
             and not state.candidates[voter]
             and state.logs[voter] == log
@@ -238,14 +238,14 @@
         return found
 
     def lose_disk(state: Spec, node: int) -> tuple:
-        leaders = tuple(NOBODY if held == node else held for held in state.leaders)
-        # A vote names a disk: those given to the old one are spent and help nobody.
+        leaders = tuple(NO_NODE if leader == node else leader for leader in state.leaders)
+        # Votes name a disk identity, so votes for the lost one no longer count.
         votes = tuple(LOST_IDENTITY if vote == node else vote for vote in state.votes)
         votes = votes if not amnesia else state.votes
         return tuple(
             state._replace(
                 epochs=put(state.epochs, node, 0),
-                votes=put(votes, node, NOBODY),
+                votes=put(votes, node, NO_NODE),
                 logs=put(state.logs, node, ()),
                 leaders=leaders if not amnesia else state.leaders,
                 disk_lost=put(state.disk_lost, node, True),
@@ -261,7 +261,7 @@
         initial=tuple(initial_state(bounds)),
         transitions=transitions,
         invariants={
-            "one_leader_an_epoch": lambda state: not state["second_leader"],
-            "committed_is_never_lost": lambda state: not state["lost"],
+            "one_leader_per_epoch": lambda state: not state["second_leader"],
+            "committed_entries_survive": lambda state: not state["committed_lost"],
         },
     )
--- a/tests/test_lease_spec.py
+++ b/tests/test_lease_spec.py
@@ -1,4 +1,4 @@
-"""The specification of the leader's lease, checked exhaustively; each of its rules is needed."""
+"""Checks the lease specification exhaustively, and that each of its rules is necessary."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 
 def refuted(bounds: LeaseBounds, rules: LeaseRules) -> bool:
-    """Whether two replicas that may act are found without one of the rules."""
+    """Whether the checker finds two active leaders under these rules."""
     report = check_safety(make_lease_protocol(bounds, rules), max_states=REFUTED_WITHIN_STATES)
-    return report["properties"]["one_may_act"]["holds"] is False
+    return report["properties"]["at_most_one_active_leader"]["holds"] is False
 
 
 class LeaseSpecTest(testtools.TestCase):
-    """Bounds and numbers of states are stated in docs/PROOFS.md."""
+    """The bounds and state counts are listed in docs/PROOFS.md."""
 
-    def test_holds_with_hand_overs(self) -> None:
+    def test_invariant_holds_with_hand_overs(self) -> None:
         report = check_safety(make_lease_protocol(HAND_OVER, LeaseRules()), max_states=MAX_STATES)
-        self.assertEqual({"one_may_act": True}, holds(report))
+        self.assertEqual({"at_most_one_active_leader": True}, holds(report))
 
-    def test_holds_with_hand_overs_and_restarts(self) -> None:
+    def test_invariant_holds_with_hand_overs_and_restarts(self) -> None:
         report = check_safety(make_lease_protocol(BOTH, LeaseRules()), max_states=MAX_STATES)
-        self.assertEqual({"one_may_act": True}, holds(report))
+        self.assertEqual({"at_most_one_active_leader": True}, holds(report))
 
-    def test_a_leader_that_goes_on_after_its_hand_over_is_refuted(self) -> None:
+    def test_a_leader_that_stays_active_after_its_hand_over_is_refuted(self) -> None:
         self.assertTrue(refuted(HAND_OVER, LeaseRules(stops_before_hand_over=False)))
 
-    def test_following_a_hand_over_of_an_earlier_epoch_is_refuted(self) -> None:
-        self.assertTrue(refuted(HAND_OVER, LeaseRules(hand_over_is_of_this_epoch=False)))
+    def test_accepting_a_hand_over_of_an_earlier_epoch_is_refuted(self) -> None:
+        self.assertTrue(refuted(HAND_OVER, LeaseRules(hand_over_matches_epoch=False)))
 
-    def test_voters_that_stick_to_nobody_are_refuted(self) -> None:
-        self.assertTrue(refuted(HAND_OVER, LeaseRules(promises_bind=False)))
+    def test_voters_that_ignore_their_promises_are_refuted(self) -> None:
+        self.assertTrue(refuted(HAND_OVER, LeaseRules(promises_are_binding=False)))
 
-    def test_a_restart_that_forgets_to_wait_is_refuted(self) -> None:
+    def test_a_restart_without_a_wait_is_refuted(self) -> None:
         self.assertTrue(refuted(RESTART, LeaseRules(restart_waits=False)))
 
-    def test_a_vote_at_once_for_the_leader_of_an_earlier_epoch_is_refuted(self) -> None:
-        self.assertTrue(refuted(RESTART, LeaseRules(disk_is_sure=False)))
+    def test_an_immediate_vote_for_the_leader_of_an_earlier_epoch_is_refuted(self) -> None:
+        self.assertTrue(refuted(RESTART, LeaseRules(disk_leader_is_current=False)))
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -1,4 +1,4 @@
-"""Where ledger nodes find one another."""
+"""Addresses of ledger nodes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PeerAddressesTest(testtools.TestCase):
-    """A follower that has heard only its leader must still find the other follower."""
+    """A follower must reach the other followers, not only the leader."""
 
-    def test_a_node_without_a_known_address_is_reached_through_the_unnamed_ones(self) -> None:
-        """Once the leader is gone, two followers that never spoke must elect one of them."""
+    def test_a_node_with_an_unknown_address_is_reached_through_unnamed_addresses(self) -> None:
+        """Guards against a failed election between followers that have not exchanged frames."""
         addresses = PeerAddresses(ME, [ME, LEADER, OTHER])
         addresses.record_sender("leader", LEADER)
         self.assertEqual([OTHER], addresses.targets("other"))
@@ -28,13 +28,13 @@
         addresses.record_sender("leader", LEADER)
         self.assertEqual([LEADER], addresses.targets("leader"))
 
-    def test_a_frame_counts_more_than_the_list(self) -> None:
+    def test_an_address_from_a_frame_takes_precedence_over_the_object_store(self) -> None:
         addresses = PeerAddresses(ME, [])
         addresses.record_sender("other", OTHER)
         addresses.listed("other", LEADER)
         self.assertEqual(OTHER, addresses.of("other"))
 
-    def test_a_node_that_moved_is_found_by_its_frame(self) -> None:
+    def test_a_frame_updates_the_address_of_a_moved_node(self) -> None:
         addresses = PeerAddresses(ME, [])
         addresses.listed("other", LEADER)
         mine = LedgerCodec(Sender("me", *ME), addresses)
--- a/tests/two_voter_spec.py
+++ b/tests/two_voter_spec.py
@@ -1,18 +1,18 @@
-"""A small specification of the two-voter rule: who may go on once a disk is proved lost.
+"""Specification of the two-voter rule: who may lead once a disk is proved lost.
 
-Nodes 0 and 1 remain when node 2 is emptied (entry `CHANGE`). An entry of a log is the epoch
-that wrote it, and whether it is the change of the voter set. Actions are named after the code:
+Nodes 0 and 1 remain when node 2 is removed from the voter set. A log entry is the epoch that
+wrote it and whether it is the change of the voter set. Actions are named after the code:
 
     StartElection, VoteReply, BecomeLeader, Append, AppendRequest, Commit   as in `ledger_spec`
-    ChangeVoters     the leader takes node 2 out of the voter set
-    LearnCommit      a follower learns that the change is committed
-    RemovalFinished  node 2 is told to be empty; its machine and disk are gone from then on
-    Restart          a node loses its memory; its disk stays
-    LoseDisk         a node comes back with an empty disk: it is another voter
-    DiskProved       a node learns that another's disk is lost
-
-Invariants: at most one leader in an epoch; a committed entry is never lost; and as long as at
-most one disk was lost, somebody can be elected once all others answer.
+    ChangeVoters     the leader removes node 2 from the voter set
+    LearnCommit      a follower is notified that the change is committed
+    RemovalFinished  node 2 is decommissioned; its machine and disk no longer exist
+    Restart          a node loses its memory but not its disk
+    LoseDisk         a node restarts with an empty disk and is a different voter
+    DiskProved       a node obtains proof that another node's disk is lost
+
+Invariants: at most one leader per epoch; a committed entry is never lost; and a leader can be
+elected as long as at most one disk was lost and all other nodes reply.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from tests.ledger_spec import put
 
 NODES = 3
-LEAVER = 2
-NOBODY = -1
-EVERYBODY = (0, 1, 2)
+REMOVED_NODE = 2
+NO_NODE = -1
+ALL_NODES = (0, 1, 2)
 REMAINING = (0, 1)
 Entry = tuple[int, bool]
 Log = tuple[Entry, ...]
@@ -42,62 +42,62 @@
     """By epoch, the node that leads it."""
     second_leader: bool
     committed: Log
-    lost: bool
-    """A leader was elected whose log lacks what was committed."""
-    knows: tuple[bool, ...]
+    committed_lost: bool
+    """A leader was elected whose log lacks committed entries."""
+    knows_commit: tuple[bool, ...]
     """Whether the node knows that the change of the voter set is committed."""
     proofs: tuple[tuple[int, ...], ...]
-    """By node, the nodes whose disks it holds for lost."""
-    wiped: tuple[bool, ...]
+    """By node, the nodes whose disks are proved lost to it."""
+    disk_lost: tuple[bool, ...]
     removed: bool
     candidates: tuple[bool, ...]
-    """Who asks for votes; a restart ends it."""
+    """Nodes with an election in progress; a restart ends it."""
 
 
 class Rules(NamedTuple):
-    """The rule's parts; the checker must refute the protocol without any of them."""
+    """Parts of the rule; the checker must refute the protocol without any one of them."""
 
     commit_index_is_durable: bool = True
-    """A restarted node still knows which change was committed."""
+    """The commit index survives a restart."""
     asks_previous_set: bool = True
-    """While the change is not known committed, the set before it decides as well."""
+    """Until the change is known to be committed, the previous set is required as well."""
     waits_for_commit: bool = True
-    """A node decides alone only where it knows that the change is committed."""
+    """A node decides alone only if it knows that the change is committed."""
     proofs_are_fresh: bool = True
-    """A proof of another life of the node proves nothing."""
-    leaver_votes: bool = True
-    """A node that a change leaves out goes on to give votes."""
+    """Proofs about an earlier disk of the node are not accepted."""
+    removed_node_votes: bool = True
+    """A node removed by a change keeps granting votes."""
     removal_waits: bool = True
-    """The removal is finished only when both remaining nodes know of the commit."""
+    """The removal finishes only when both remaining nodes know of the commit."""
 
 
 class Bounds(NamedTuple):
-    """How far the states are explored."""
+    """Limits of the explored state space."""
 
     max_epoch: int = 2
     max_log: int = 2
 
 
 def initial_state(bounds: Bounds) -> Spec:
-    """Node 0 leads the first epoch; nothing is written."""
+    """Node 0 leads the first epoch; all logs are empty."""
     return Spec(
         epochs=(1, 1, 1),
         votes=(0, 0, 0),
         logs=((), (), ()),
-        leaders=(NOBODY, 0, *(NOBODY,) * (bounds.max_epoch - 1)),
+        leaders=(NO_NODE, 0, *(NO_NODE,) * (bounds.max_epoch - 1)),
         second_leader=False,
         committed=(),
-        lost=False,
-        knows=(False,) * NODES,
+        committed_lost=False,
+        knows_commit=(False,) * NODES,
         proofs=((),) * NODES,
-        wiped=(False,) * NODES,
+        disk_lost=(False,) * NODES,
         removed=False,
         candidates=(False,) * NODES,
     )
 
 
-def changed(log: Log) -> bool:
-    """Whether the log holds the change of the voter set."""
+def has_voter_change(log: Log) -> bool:
+    """Whether the log contains the voter set change."""
     return any(change for _, change in log)
 
 
@@ -107,54 +107,62 @@
     return (last(candidate), len(candidate)) >= (last(voter), len(voter))
 
 
-def electorates(rules: Rules, log: Log, knows: bool, proofs: tuple[int, ...]) -> list[tuple]:
-    """The sets of which each needs a majority, at a node with this log and these beliefs."""
-    if not changed(log):
-        return [EVERYBODY]
-    alone = tuple(node for node in REMAINING if node not in proofs)
-    if len(alone) != 1:
+def quorum_sets(rules: Rules, log: Log, knows_commit: bool, proofs: tuple[int, ...]) -> list[tuple]:
+    """The sets of which each needs a majority, from the view of one node."""
+    if not has_voter_change(log):
+        return [ALL_NODES]
+    remaining = tuple(node for node in REMAINING if node not in proofs)
+    if len(remaining) != 1:
         return [REMAINING]
-    if knows or not rules.waits_for_commit:
-        return [alone]
-    return [alone, EVERYBODY] if rules.asks_previous_set else [REMAINING]
+    if knows_commit or not rules.waits_for_commit:
+        return [remaining]
+    return [remaining, ALL_NODES] if rules.asks_previous_set else [REMAINING]
 
 
 def make_two_voter_protocol(bounds: Bounds, rules: Rules) -> Protocol:
     """The protocol under these rules."""
 
-    def agreed(sets: list[tuple], nodes: set[int]) -> bool:
+    def has_quorum(sets: list[tuple], nodes: set[int]) -> bool:
         return all(2 * len(nodes.intersection(members)) > len(members) for members in sets)
 
     def sets_of(state: Spec, node: int) -> list[tuple]:
-        return electorates(rules, state.logs[node], state.knows[node], state.proofs[node])
+        return quorum_sets(rules, state.logs[node], state.knows_commit[node], state.proofs[node])
 
-    def lives(state: Spec, node: int) -> bool:
-        return not state.wiped[node] and not (node == LEAVER and state.removed)
+    def is_alive(state: Spec, node: int) -> bool:
+        return not state.disk_lost[node] and not (node == REMOVED_NODE and state.removed)
 
-    def votes(state: Spec, node: int) -> bool:
-        """Whether the node gives votes: one that a change leaves out goes on to."""
-        left = node == LEAVER and changed(state.logs[node]) and not rules.leaver_votes
-        return lives(state, node) and not left
+    def grants_votes(state: Spec, node: int) -> bool:
+        """Whether the node grants votes; a removed node keeps doing so."""
+        removed = (
+            node == REMOVED_NODE
+            and has_voter_change(state.logs[node])
+            and not rules.removed_node_votes
+        )
+        return is_alive(state, node) and not removed
 
-    def campaigns(state: Spec, node: int, proofs: tuple[int, ...]) -> bool:
-        """Whether the node asks for votes.
+    def may_campaign(state: Spec, node: int, proofs: tuple[int, ...]) -> bool:
+        """Whether the node may start an election.
 
-        One that knows that it is out does so only where a remaining disk is lost: its log may
-        be the longest that is left.
+        A node that knows of its removal campaigns only if a remaining disk is lost: its log may
+        be the longest one left.
         """
-        left = node == LEAVER and changed(state.logs[node]) and state.knows[node]
-        return votes(state, node) and not (left and not proofs)
+        removed = (
+            node == REMOVED_NODE and has_voter_change(state.logs[node]) and state.knows_commit[node]
+        )
+        return grants_votes(state, node) and not (removed and not proofs)
 
     def transitions(raw: tuple) -> list[tuple[str, tuple]]:
         state = Spec(*raw)
         found: list[tuple[str, tuple]] = []
         for node in range(NODES):
-            if lives(state, node):
-                found += elections(state, node) + leading(state, node) + beliefs(state, node)
-                if not any(state.wiped):
+            if is_alive(state, node):
+                found += (
+                    elections(state, node) + leader_actions(state, node) + local_events(state, node)
+                )
+                if not any(state.disk_lost):
                     found.append((f"LoseDisk({node})", tuple(lose_disk(state, node))))
-        known = all(state.knows[node] for node in REMAINING)
-        some = any(state.knows[node] for node in REMAINING)
+        known = all(state.knows_commit[node] for node in REMAINING)
+        some = any(state.knows_commit[node] for node in REMAINING)
         if not state.removed and (known if rules.removal_waits else some):
             found.append(("RemovalFinished", tuple(state._replace(removed=True))))
         return found
@@ -162,7 +170,7 @@
     def elections(state: Spec, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
-        if campaigns(state, node, state.proofs[node]) and epoch < bounds.max_epoch:
+        if may_campaign(state, node, state.proofs[node]) and epoch < bounds.max_epoch:
             started = state._replace(
                 epochs=put(state.epochs, node, epoch + 1),
                 votes=put(state.votes, node, node),
@@ -170,8 +178,13 @@
             )
             found.append((f"StartElection({node})", tuple(started)))
         for voter in range(NODES):
-            free = state.epochs[voter] < epoch
-            if voter != node and free and state.candidates[node] and votes(state, voter):
+            may_grant = state.epochs[voter] < epoch
+            if (
+                voter != node
+                and may_grant
+                and state.candidates[node]
+                and grants_votes(state, voter)
+            ):
                 granted = put(state.votes, voter, node)
                 if up_to_date(state.logs[node], state.logs[voter]):
                     followed = state._replace(
@@ -183,46 +196,48 @@
         granters = {
             voter
             for voter in range(NODES)
-            if state.epochs[voter] == epoch and state.votes[voter] == node and lives(state, voter)
+            if state.epochs[voter] == epoch
+            and state.votes[voter] == node
+            and is_alive(state, voter)
         }
-        if state.candidates[node] and agreed(sets_of(state, node), granters):
-            holds = state.logs[node][: len(state.committed)] == state.committed
-            led = state._replace(
+        if state.candidates[node] and has_quorum(sets_of(state, node), granters):
+            has_committed = state.logs[node][: len(state.committed)] == state.committed
+            elected = state._replace(
                 leaders=put(state.leaders, epoch, node),
-                second_leader=state.second_leader or state.leaders[epoch] != NOBODY,
-                lost=state.lost or not holds,
+                second_leader=state.second_leader or state.leaders[epoch] != NO_NODE,
+                committed_lost=state.committed_lost or not has_committed,
                 candidates=put(state.candidates, node, False),
             )
-            found.append((f"BecomeLeader({node})", tuple(led)))
+            found.append((f"BecomeLeader({node})", tuple(elected)))
         return found
 
-    def leading(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def leader_actions(state: Spec, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch, log = state.epochs[node], state.logs[node]
         if state.leaders[epoch] != node:
             return found
         if len(log) < bounds.max_log:
-            grown = put(state.logs, node, (*log, (epoch, False)))
-            found.append((f"Append({node})", tuple(state._replace(logs=grown))))
-            # Raft: a leader changes the set only once an entry of its epoch is committed.
+            appended = put(state.logs, node, (*log, (epoch, False)))
+            found.append((f"Append({node})", tuple(state._replace(logs=appended))))
+            # Raft: a leader may change the set only once an entry of its epoch is committed.
             settled = bool(log) and state.committed == log and log[-1][0] == epoch
-            if settled and not changed(log) and node != LEAVER:
-                grown = put(state.logs, node, (*log, (epoch, True)))
-                found.append((f"ChangeVoters({node})", tuple(state._replace(logs=grown))))
+            if settled and not has_voter_change(log) and node != REMOVED_NODE:
+                appended = put(state.logs, node, (*log, (epoch, True)))
+                found.append((f"ChangeVoters({node})", tuple(state._replace(logs=appended))))
         for follower in range(NODES):
-            if follower != node and lives(state, follower) and state.epochs[follower] <= epoch:
-                taken = state._replace(
+            if follower != node and is_alive(state, follower) and state.epochs[follower] <= epoch:
+                copied = state._replace(
                     epochs=put(state.epochs, follower, epoch),
                     votes=put(
                         state.votes,
                         follower,
-                        state.votes[follower] if state.epochs[follower] == epoch else NOBODY,
+                        state.votes[follower] if state.epochs[follower] == epoch else NO_NODE,
                     ),
                     logs=put(state.logs, follower, log),
                     candidates=put(state.candidates, follower, False),
                 )
-                if taken != state:
-                    found.append((f"AppendRequest({node},{follower})", tuple(taken)))
+                if copied != state:
+                    found.append((f"AppendRequest({node},{follower})", tuple(copied)))
         found += commits(state, node, epoch, log)
         return found
 
@@ -232,24 +247,33 @@
             holders = {
                 other
                 for other in range(NODES)
-                if lives(state, other) and state.logs[other][:length] == log[:length]
+                if is_alive(state, other) and state.logs[other][:length] == log[:length]
             }
-            if log[length - 1][0] == epoch and agreed(sets_of(state, node), holders):
-                knows = state.knows[node] or changed(log[:length])
-                done = state._replace(committed=log[:length], knows=put(state.knows, node, knows))
-                found.append((f"Commit({node},{length})", tuple(done)))
+            if log[length - 1][0] == epoch and has_quorum(sets_of(state, node), holders):
+                knows_commit = state.knows_commit[node] or has_voter_change(log[:length])
+                advanced = state._replace(
+                    committed=log[:length], knows_commit=put(state.knows_commit, node, knows_commit)
+                )
+                found.append((f"Commit({node},{length})", tuple(advanced)))
         return found
 
-    def beliefs(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def local_events(state: Spec, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         leader = state.leaders[state.epochs[node]]
-        held = state.logs[node][: len(state.committed)] == state.committed
-        told = leader not in (NOBODY, node) and lives(state, leader) and state.knows[leader]
-        if told and held and changed(state.logs[node]) and not state.knows[node]:
-            learned = state._replace(knows=put(state.knows, node, True))
+        has_committed = state.logs[node][: len(state.committed)] == state.committed
+        notified = (
+            leader not in (NO_NODE, node) and is_alive(state, leader) and state.knows_commit[leader]
+        )
+        if (
+            notified
+            and has_committed
+            and has_voter_change(state.logs[node])
+            and not state.knows_commit[node]
+        ):
+            learned = state._replace(knows_commit=put(state.knows_commit, node, True))
             found.append((f"LearnCommit({node})", tuple(learned)))
         for other in REMAINING:
-            proved = state.wiped[other] or not rules.proofs_are_fresh
+            proved = state.disk_lost[other] or not rules.proofs_are_fresh
             if other != node and proved and other not in state.proofs[node]:
                 proofs = put(state.proofs, node, (*state.proofs[node], other))
                 found.append((f"DiskProved({node},{other})", tuple(state._replace(proofs=proofs))))
@@ -259,38 +283,40 @@
         return found
 
     def restart(state: Spec, node: int) -> Spec:
-        knows = state.knows[node] and rules.commit_index_is_durable
+        knows_commit = state.knows_commit[node] and rules.commit_index_is_durable
         leads = state.leaders[state.epochs[node]] == node
         return state._replace(
-            knows=put(state.knows, node, knows),
+            knows_commit=put(state.knows_commit, node, knows_commit),
             proofs=put(state.proofs, node, ()),
             candidates=put(state.candidates, node, False),
-            leaders=put(state.leaders, state.epochs[node], LEFT) if leads else state.leaders,
+            leaders=put(state.leaders, state.epochs[node], FORMER_LEADER)
+            if leads
+            else state.leaders,
         )
 
     def lose_disk(state: Spec, node: int) -> Spec:
-        gone = restart(state, node)
-        return gone._replace(
-            logs=put(gone.logs, node, ()),
-            knows=put(gone.knows, node, False),
-            wiped=put(gone.wiped, node, True),
-            votes=tuple(LEFT if vote == node else vote for vote in gone.votes),
+        restarted = restart(state, node)
+        return restarted._replace(
+            logs=put(restarted.logs, node, ()),
+            knows_commit=put(restarted.knows_commit, node, False),
+            disk_lost=put(restarted.disk_lost, node, True),
+            votes=tuple(FORMER_LEADER if vote == node else vote for vote in restarted.votes),
         )
 
-    def somebody_can_lead(raw: dict) -> bool:
+    def a_leader_can_be_elected(raw: dict) -> bool:
         state = Spec(*(raw[field] for field in Spec._fields))
-        wiped = tuple(node for node in REMAINING if state.wiped[node])
+        lost_disks = tuple(node for node in REMAINING if state.disk_lost[node])
         for node in range(NODES):
-            proofs = tuple(other for other in wiped if other != node)
-            if not campaigns(state, node, proofs):
+            proofs = tuple(other for other in lost_disks if other != node)
+            if not may_campaign(state, node, proofs):
                 continue
-            sets = electorates(rules, state.logs[node], state.knows[node], proofs)
+            sets = quorum_sets(rules, state.logs[node], state.knows_commit[node], proofs)
             granters = {
                 voter
                 for voter in range(NODES)
-                if votes(state, voter) and up_to_date(state.logs[node], state.logs[voter])
+                if grants_votes(state, voter) and up_to_date(state.logs[node], state.logs[voter])
             }
-            if agreed(sets, granters):
+            if has_quorum(sets, granters):
                 return True
         return False
 
@@ -301,12 +327,12 @@
         initial=tuple(initial_state(bounds)),
         transitions=transitions,
         invariants={
-            "one_leader_an_epoch": lambda state: not state["second_leader"],
-            "committed_is_never_lost": lambda state: not state["lost"],
-            "somebody_can_lead": somebody_can_lead,
+            "one_leader_per_epoch": lambda state: not state["second_leader"],
+            "committed_entries_survive": lambda state: not state["committed_lost"],
+            "a_leader_can_be_elected": a_leader_can_be_elected,
         },
     )
 
 
-LEFT = -2
-"""A leader that lost its memory or its disk: its epoch has no leader again, but had one."""
+FORMER_LEADER = -2
+"""Replaces a node that lost its memory or its disk: the epoch or vote is used up."""
