--- a/stileloom/ledger/order_windows.py
+++ b/stileloom/ledger/order_windows.py
@@ -22,17 +22,17 @@
 
     opened: int = 0
     """Number of windows opened so far."""
-    learned_at: float = float("-inf")
+    observed_at: float = float("-inf")
     """When the newest window was first observed."""
 
     def learned(self, opened: int, now: float) -> None:
         """Records the number of windows in the ledger's current state."""
         if opened != self.opened:
             self.opened = opened
-            self.learned_at = now
+            self.observed_at = now
 
     def orders_from(self, last_holder: str, node_id: str, lease_s: float) -> float:
         """Earliest time of this node's first order as a new leader."""
         if last_holder in ("", node_id):
             return float("-inf")
-        return self.learned_at + ORDER_WINDOW_S + MAX_ORDER_DELAY_S + lease_s
+        return self.observed_at + ORDER_WINDOW_S + MAX_ORDER_DELAY_S + lease_s
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -519,7 +519,7 @@
         return self._grants_votes and (needed or not removed)
 
     def _is_removed_leader(self, now: float) -> bool:
-        """Whether this leader is not in the voter set and its whole log is committed."""
+        """Whether this leader is not in the voter set and its complete log is committed."""
         return (
             not self.is_voter and self.may_act(now) and self._commit_index == self._log.last_index
         )
@@ -561,12 +561,12 @@
         return [Send(target, hello) for target in sorted(targets - {self.me.node_id})]
 
     def _voter_health(self, now: float) -> VoterHealth:
-        deadline_s = now - constants.VOTER_SILENT_S
+        oldest_contact_at = now - constants.VOTER_SILENT_S
         unresponsive = {
             voter.node_id
             for voter, progress in self._progress.items()
             if voter in self.voters
-            and max(progress.last_contact_at, self._leader_since) <= deadline_s
+            and max(progress.last_contact_at, self._leader_since) <= oldest_contact_at
         }
         retiring = frozenset(self.state.retired_nodes)
         return VoterHealth(
--- a/tests/lease_spec.py
+++ b/tests/lease_spec.py
@@ -183,11 +183,11 @@
             state = enter_epoch(state, replica, epoch)
         if epoch != state.epoch[replica] or state.voted_for[replica] not in (NO_NODE, candidate):
             return [("Vote: none", state)]
-        given = state._replace(
+        granted = state._replace(
             voted_for=put(state.voted_for, replica, candidate),
             votes=state.votes | {(epoch, candidate, replica)},
         )
-        return [(f"Vote({replica} for {candidate})", given)]
+        return [(f"Vote({replica} for {candidate})", granted)]
 
     def leases(state: Spec, replica: int) -> list[tuple[str, Spec]]:
         found: list[tuple[str, Spec]] = []
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -713,13 +713,13 @@
     """A leader's ledger with switchable lease and commits."""
 
     def __init__(self) -> None:
-        self.has_lease = True
+        self.acts = True
         self.proposed: list[Command] = []
         self.fails = False
 
     def may_act(self) -> bool:
         """Whether the lease is valid."""
-        return self.has_lease
+        return self.acts
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits immediately, or raises if `fails` is set."""
@@ -756,6 +756,6 @@
         self.assertFalse(asyncio.run(self.window.open()))
         self.ledger.fails = False
         self.assertTrue(asyncio.run(self.window.open()))
-        self.ledger.has_lease = False
+        self.ledger.acts = False
         self.assertFalse(self.window.is_open())
         self.assertFalse(asyncio.run(self.window.open()))
