--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -46,8 +46,7 @@
         "stileloom/quarantine/guard.py",
         "return len(samplers.responsive_incarnations(service) - self._crashed_samplers()) > 1",
         "return True",
-        f"{QUARANTINE}::PoisonLookupTest"
-        "::test_a_poison_lookup_leaves_its_service_one_sampler",
+        f"{QUARANTINE}::PoisonLookupTest::test_a_poison_lookup_leaves_its_service_one_sampler",
     ),
     Mutant(
         "a call drops a cancellation that comes with its reply",
@@ -81,8 +80,7 @@
         "stileloom/proxy/admission.py",
         "    if not plan.full:\n",
         "    if not listed:\n",
-        f"{ADMISSION}::DecisionTest"
-        "::test_a_lookup_without_reachable_samplers_is_refused_at_once",
+        f"{ADMISSION}::DecisionTest::test_a_lookup_without_reachable_samplers_is_refused_at_once",
     ),
     Mutant(
         "a gateway keeps the ends that it sees to itself",
@@ -135,8 +133,7 @@
         "stileloom/proxy/sampler_table.py",
         "if latest_start_ms is not None and entry.born_ms < latest_start_ms:",
         "if latest_start_ms is not None and entry.born_ms < 0:",
-        "tests/test_routes.py::SamplerTableTest"
-        "::test_a_late_entry_of_an_earlier_start_is_ignored",
+        "tests/test_routes.py::SamplerTableTest::test_a_late_entry_of_an_earlier_start_is_ignored",
     ),
     Mutant(
         "segments take the newest version for all tokens",
