--- a/stileloom/emulator/engine_model.py
+++ b/stileloom/emulator/engine_model.py
@@ -1,12 +1,12 @@
-"""A model engine in virtual time: continuous batching, prefix cache, versions, fenced orders.
+"""Model of an inference engine with continuous batching, a prefix cache and weight versions.
 
-Step-time model: with n running sequences one step takes
+The caller supplies the time. With n running sequences, one step takes
 
     step_base_s + n * step_per_sequence_s
 
-and gives each of them one token. So all running sequences advance together, and the model
-keeps one number, the count of steps so far (`_steps`), which grows at a rate that changes only
-when a sequence starts or ends: it computes the next end instead of stepping through tokens.
+and generates one token for each of them. All running sequences advance together, so the model
+keeps a single step count (`_steps`). Its rate changes only when a sequence starts or ends, so the
+next end is computed directly instead of simulating every step.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from stileloom.api.objects import SamplerRole
 from stileloom.lease import Fence
 
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 VERSION_BITS = 16
 CHARACTERS_PER_TOKEN = 4
-SEEN_IDS = 100_000
-VERSIONS_REMEMBERED = 64
+MAX_SEEN_IDS = 100_000
+MAX_VERSION_HISTORY = 64
 
 
 class EngineParameters(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How fast an engine is; times in seconds, sizes in tokens or bytes."""
+    """Performance parameters; times in seconds, sizes in tokens or bytes."""
 
     max_running: int = 32
     step_base_s: float = 0.010
@@ -50,29 +50,29 @@
     prefix_cache_tokens: int = 20_000
     weight_bytes: int = 2_000_000_000
     peer_bytes_per_s: float = 2_000_000_000.0
-    """Rate at which a holder passes weights on to another engine."""
+    """Rate of weight transfers to another engine."""
     load_failure_probability: float = 0.0
-    """Chance that a swap fails partway and leaves the version unknown."""
+    """Probability that a weight load fails and leaves the version unknown."""
     load_lag_s: float = 0.2
-    """How old a load report may be."""
+    """Maximum age of a load report."""
     length_median_tokens: int = 60
     length_sigma: float = 0.6
-    """Sigma of the log-normal length of prompts that do not state theirs."""
+    """Sigma of the log-normal length of prompts without a `len:` prefix."""
 
 
 class _Sequence(msgspec.Struct):
-    """A generation that runs."""
+    """A running or finished generation."""
 
     request: GenerateRequest
     length: int
-    """Tokens of the whole generation."""
+    """Total number of tokens, including those before `first_token`."""
     started_at_step: float
     reported: int
-    """Tokens already handed out, or known to the caller."""
+    """Number of tokens already returned, or known to the caller from an earlier attempt."""
 
 
 class EngineModel:
-    """One engine. Calls advance it to the time they are given."""
+    """One engine. Each call first advances the model to the given time."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         self._version_steps: list[tuple[float, int | None]] = [(0.0, version)]
         self._prefixes: collections.OrderedDict[str, int] = collections.OrderedDict()
         self._loading: EngineOrder | None = None
-        self._leaving = False
+        self._draining = False
 
     # Time.
 
@@ -113,67 +113,67 @@
             self.parameters.step_base_s + len(self._running) * self.parameters.step_per_sequence_s
         )
 
-    def _stands_still(self) -> bool:
+    def _is_paused(self) -> bool:
         return self.state in (EngineState.LOADING, EngineState.UNKNOWN_VERSION)
 
     def advance(self, now: float) -> None:
-        """Brings the engine to a time: sequences grow, end, and others start."""
-        while self._running and not self._stands_still():
-            self._drop_stale_ends()
+        """Advances the model to `now`, finishing running sequences and starting waiting ones."""
+        while self._running and not self._is_paused():
+            self._discard_stale_ends()
             step_time = self._step_time()
             end_step, request_id = self._ends[0]
             end_at = self._now + (end_step - self._steps) * step_time
-            # An end that is due within a rounding error must not be put off for ever.
-            if end_at > now + ROUNDING:
-                self._grow(now, step_time)
+            # Without the tolerance, a rounding error could postpone an end forever.
+            if end_at > now + ROUNDING_TOLERANCE:
+                self._advance_steps(now, step_time)
                 break
-            self._grow(min(now, end_at), step_time)
+            self._advance_steps(min(now, end_at), step_time)
             self._steps = max(self._steps, end_step)
             heapq.heappop(self._ends)
-            self._end_sequence(request_id)
+            self._finish_sequence(request_id)
         self._now = max(self._now, now)
 
-    def _grow(self, until: float, step_time: float) -> None:
+    def _advance_steps(self, until: float, step_time: float) -> None:
         elapsed = max(0.0, until - self._now)
         self._steps += elapsed / step_time
         self.busy_s += elapsed
         self._now = max(self._now, until)
 
-    def _drop_stale_ends(self) -> None:
+    def _discard_stale_ends(self) -> None:
         while self._ends and self._ends[0][1] not in self._running:
             heapq.heappop(self._ends)
 
     def next_event_at(self) -> float | None:
-        """When the next sequence ends, if nothing else happens."""
-        self._drop_stale_ends()
-        if self._stands_still() or not self._ends:
+        """Returns the time at which the next sequence ends, or None if none is running."""
+        self._discard_stale_ends()
+        if self._is_paused() or not self._ends:
             return None
         return self._now + max(0.0, self._ends[0][0] - self._steps) * self._step_time()
 
     # Generations.
 
     def submit(self, now: float, request: GenerateRequest) -> EngineRefusal | None:
-        """Takes a generation, or refuses it before it begins."""
+        """Queues a generation. Returns a refusal if it was not accepted."""
         self.advance(now)
         if request.request_id in self._seen:
-            return EngineRefusal("duplicate_request", "this id was seen before")
-        if self._leaving:
+            return EngineRefusal("duplicate_request", "request id was already used")
+        if self._draining:
             return EngineRefusal("leaving")
         if self.state is not EngineState.SERVING:
             return EngineRefusal(self.state.value)
         if request.role is not self.role:
-            return EngineRefusal("wrong_role", f"works as {self.role.value}")
+            return EngineRefusal("wrong_role", f"engine role is {self.role.value}")
         if request.model != self.model:
-            return EngineRefusal("wrong_model", f"holds {self.model}")
-        self._remember(request.request_id, CancelState.BEGAN)
+            return EngineRefusal("wrong_model", f"engine serves {self.model}")
+        self._record_state(request.request_id, CancelState.BEGAN)
         self._arrivals += 1
         heapq.heappush(self._waiting, (-request.priority, self._arrivals, request))
         self._start_waiting()
         return None
 
-    def _remember(self, request_id: str, state: CancelState) -> None:
+    def _record_state(self, request_id: str, state: CancelState) -> None:
         self._seen[request_id] = state
-        while len(self._seen) > SEEN_IDS:
+        while len(self._seen) > MAX_SEEN_IDS:
             self._seen.popitem(last=False)
 
     def _start_waiting(self) -> None:
@@ -196,7 +196,7 @@
         return math.ceil(uncached / self.parameters.prefill_tokens_per_step)
 
     def _cached_prefix(self, key: str, prompt_tokens: int) -> int:
-        """Tokens of the prompt that are in the cache; the prefix is in it afterwards."""
+        """Returns how many prompt tokens are cached, and caches the prefix."""
         if not key:
             return 0
         cached = min(prompt_tokens, self._prefixes.pop(key, 0))
@@ -205,19 +205,19 @@
             self._prefixes.popitem(last=False)
         return cached
 
-    def _end_sequence(self, request_id: str) -> None:
+    def _finish_sequence(self, request_id: str) -> None:
         sequence = self._running.pop(request_id)
         self._finished[request_id] = sequence
         self.generated_tokens += sequence.length - sequence.request.first_token
         self._start_waiting()
 
     def poll(self, now: float, request_id: str) -> list[StreamChunk | StreamEnd] | None:
-        """What is new of a generation; None where it was cut off or is not known any more."""
+        """Returns new output of a generation, or None if it was aborted or is unknown."""
         self.advance(now)
         sequence = self._running.get(request_id)
         if sequence is not None:
-            made = math.floor(self._steps - sequence.started_at_step + ROUNDING)
-            count = sequence.request.first_token + max(0, made)
+            generated = math.floor(self._steps - sequence.started_at_step + ROUNDING_TOLERANCE)
+            count = sequence.request.first_token + max(0, generated)
             return list(self._chunks(sequence, min(count, sequence.length)))
         finished = self._finished.pop(request_id, None)
         if finished is not None:
@@ -228,28 +228,28 @@
         return [] if is_waiting else None
 
     def ended_ids(self) -> list[str]:
-        """Generations that have ended and were not fetched to their end."""
+        """Returns the ids of finished generations whose output has not been fetched."""
         return list(self._finished)
 
     def _chunks(self, sequence: _Sequence, up_to: int) -> list[StreamChunk]:
-        """Tokens not handed out yet, split where the version changed."""
+        """Returns the tokens not returned yet, split where the weight version changes."""
         chunks: list[StreamChunk] = []
         position = sequence.reported
         while position < up_to:
-            version, until = self._version_of(sequence, position, up_to)
+            version, until = self._version_at(sequence, position, up_to)
             tokens = make_tokens(sequence.request.prompt, position, until, version)
             chunks.append(StreamChunk(position, tokens, version))
             position = until
         sequence.reported = max(sequence.reported, up_to)
         return chunks
 
-    def _version_of(self, sequence: _Sequence, position: int, up_to: int) -> tuple[int | None, int]:
-        """The version that made a token, and the first token after it of another one."""
+    def _version_at(self, sequence: _Sequence, position: int, up_to: int) -> tuple[int | None, int]:
+        """Returns the weight version of a token and the end of its run of tokens."""
         offset = sequence.started_at_step - sequence.request.first_token + 1
         version: int | None = None
         until = up_to
         for step, candidate in self._version_steps:
-            first = math.ceil(step - offset + ROUNDING)
+            first = math.ceil(step - offset + ROUNDING_TOLERANCE)
             if first <= position:
                 version = candidate
             else:
@@ -258,10 +258,10 @@
         return version, max(until, position + 1)
 
     def cancel(self, now: float, request_id: str) -> CancelState:
-        """Ends a generation; an id that was never seen is refused from now on."""
+        """Cancels a generation. An unknown id is recorded, so that submitting it later fails."""
         self.advance(now)
         if request_id not in self._seen:
-            self._remember(request_id, CancelState.NEVER_BEGAN)
+            self._record_state(request_id, CancelState.NEVER_BEGAN)
         state = self._seen[request_id]
         if self._running.pop(request_id, None) is not None:
             self._start_waiting()
@@ -273,25 +273,25 @@
     # Orders and versions.
 
     def order(self, now: float, order: EngineOrder) -> bool:
-        """Takes a fenced order; returns whether weights are to be loaded for it.
+        """Applies a fenced order. Returns whether weights must be loaded for it.
 
-        Raises `PermissionError` where the token is lower than one seen before.
+        Raises `PermissionError` if the fencing token is lower than an earlier one.
         """
         self.advance(now)
         if not self.fence.admits(order.token):
-            raise PermissionError(f"token below {self.fence.highest}")
-        held = (self.model, self.version) == (order.model, order.version)
-        if held and self.state is EngineState.SERVING:
+            raise PermissionError(f"fencing token is lower than {self.fence.highest}")
+        is_current = (self.model, self.version) == (order.model, order.version)
+        if is_current and self.state is EngineState.SERVING:
             self.role = order.role
             return False
         if order.model != self.model:
-            self._cut_everything()
+            self._abort_all()
         self._loading = order
         self.state = EngineState.LOADING
         return True
 
     def finish_load(self, now: float, order: EngineOrder, success: bool) -> None:
-        """The weights of an order arrived, or the swap failed partway."""
+        """Completes the weight load of an order; a failed load leaves the version unknown."""
         self.advance(now)
         if self._loading != order:
             return
@@ -299,51 +299,51 @@
         if not success:
             self.state = EngineState.UNKNOWN_VERSION
             self.version = None
-            self._cut_everything()
+            self._abort_all()
             return
         self.state = EngineState.SERVING
         self.role = order.role
         self.model = order.model
         self.version = order.version
         self._version_steps.append((self._steps, order.version))
-        del self._version_steps[:-VERSIONS_REMEMBERED]
+        del self._version_steps[:-MAX_VERSION_HISTORY]
         self._start_waiting()
 
     def draw_load_success(self) -> bool:
-        """Whether the next swap goes well."""
+        """Draws whether the next weight load succeeds."""
         return self._rng.random() >= self.parameters.load_failure_probability
 
-    def leave(self, now: float) -> None:
-        """A planned stop: no new work, what runs is finished."""
+    def drain(self, now: float) -> None:
+        """Refuses new requests; queued and running generations are completed."""
         self.advance(now)
-        self._leaving = True
+        self._draining = True
 
     def crash(self, now: float) -> None:
-        """Everything is lost, as at a new start: the version is not known any more."""
+        """Loses all requests and caches; the weight version is unknown afterwards."""
         self.advance(now)
-        self._cut_everything()
+        self._abort_all()
         self._loading = None
         self._seen.clear()
         self._prefixes.clear()
         self.state = EngineState.UNKNOWN_VERSION
         self.version = None
 
-    def _cut_everything(self) -> None:
+    def _abort_all(self) -> None:
         self._running.clear()
         self._waiting.clear()
         self._ends.clear()
 
     @property
     def open_count(self) -> int:
-        """Generations running, waiting, or not fetched to their end."""
+        """Number of generations that are running, waiting, or finished and not fetched."""
         return len(self._running) + len(self._waiting) + len(self._finished)
 
     def report(self, now: float) -> LoadReport:
-        """The engine's load now."""
+        """Returns the current load."""
         self.advance(now)
         return LoadReport(
             sampler_id=self.sampler_id,
-            state=EngineState.LEAVING if self._leaving else self.state,
+            state=EngineState.LEAVING if self._draining else self.state,
             role=self.role,
             model=self.model,
             weight_version=self.version,
@@ -355,10 +355,10 @@
 
 
 def natural_length(prompt: str, max_tokens: int, parameters: EngineParameters) -> int:
-    """How many tokens the model would give a prompt.
+    """Returns the number of tokens generated for a prompt, at most `max_tokens`.
 
-    A prompt that begins `len:N|` has N; any other has a log-normal length drawn from its
-    hash, so that the same prompt always has the same.
+    A prompt that starts with `len:N|` gets N tokens. Any other gets a log-normal length derived
+    from its hash, so it is the same on every run.
     """
     if prompt.startswith("len:"):
         stated = prompt[4:].partition("|")[0]
@@ -371,10 +371,10 @@
 
 
 def make_tokens(prompt: str, start: int, end: int, version: int | None) -> list[int]:
-    """Tokens `start..end` of a prompt: content in the high bits, version in the low ones.
+    """Returns tokens `start..end` of a prompt, with the version in the low bits.
 
-    So a reader can check both that a token belongs to its prompt and place, and that the
-    version named for it is the one that made it.
+    A reader can verify that a token belongs to its prompt and position, and that it was generated
+    by the reported weight version.
     """
     base = xxhash.xxh3_64_intdigest(prompt.encode()) & 0xFFFF
     low = (version or 0) & ((1 << VERSION_BITS) - 1)
@@ -384,5 +384,5 @@
 
 
 def token_content(token: int) -> int:
-    """The part of a token that does not depend on the version."""
+    """Returns the version-independent part of a token."""
     return token >> VERSION_BITS
--- a/stileloom/emulator/engine_server.py
+++ b/stileloom/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""Engines over HTTP."""
+"""HTTP interface of the emulated engine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class EngineService:
-    """An engine model in real time."""
+    """Runs an engine model in real time."""
 
     def __init__(self, settings: EmulatorSettings, sampler: SamplerSettings) -> None:
         self.model = EngineModel(
@@ -36,10 +36,10 @@
         self._http = AsyncHTTPClient(force_instance=True)
         self._report: LoadReport | None = None
         self._reported_at = float("-inf")
-        self._loads: set[asyncio.Task[None]] = set()
+        self._load_tasks: set[asyncio.Task[None]] = set()
 
     def report(self) -> LoadReport:
-        """The load, up to `load_lag_s` old."""
+        """Returns a load report that is at most `load_lag_s` old."""
         now = steady_time()
         lag_s = self.model.parameters.load_lag_s
         if self._report is None or now >= self._reported_at + lag_s:
@@ -48,11 +48,11 @@
         return self._report
 
     def order(self, order: EngineOrder) -> None:
-        """Takes a fenced order. Raises `PermissionError`."""
+        """Applies a fenced order. Raises `PermissionError` if its token is outdated."""
         if self.model.order(steady_time(), order):
             task = asyncio.get_running_loop().create_task(self._load(order))
-            self._loads.add(task)
-            task.add_done_callback(self._loads.discard)
+            self._load_tasks.add(task)
+            task.add_done_callback(self._load_tasks.discard)
 
     async def _load(self, order: EngineOrder) -> None:
         size = self.model.parameters.weight_bytes
@@ -67,18 +67,18 @@
 
 
 class EngineHandler(JsonHandler):
-    """Base of an engine's handlers."""
+    """Base class of the engine's request handlers."""
 
     def initialize(self, service: EngineService) -> None:
-        """Takes the engine."""
+        """Sets the engine; called by tornado."""
         self.service = service
 
 
 class GenerateHandler(EngineHandler):
-    """`POST /v1/completions`: a stream of server-sent events."""
+    """`POST /v1/completions`: streams tokens as server-sent events."""
 
     async def post(self) -> None:
-        """Runs a generation and streams its tokens."""
+        """Submits a generation and streams its tokens."""
         request = msgspec.json.decode(self.request.body, type=GenerateRequest)
         model = self.service.model
         refusal = model.submit(steady_time(), request)
@@ -95,7 +95,7 @@
         while True:
             frames = self.service.model.poll(steady_time(), request_id)
             if frames is None:
-                # Cut off: the connection ends without the counted last frame.
+                # The generation was aborted: end the response without a final `StreamEnd` frame.
                 self.finish()
                 return
             for frame in frames:
@@ -108,7 +108,7 @@
             await asyncio.sleep(STREAM_INTERVAL_S)
 
     def on_connection_close(self) -> None:
-        """The reader went away."""
+        """Cancels the generation when the client disconnects."""
         request = msgspec.json.decode(self.request.body, type=GenerateRequest)
         self.service.model.cancel(steady_time(), request.request_id)
 
@@ -117,7 +117,7 @@
     """`POST /v1/cancellations`."""
 
     def post(self) -> None:
-        """Cancels by id and says whether it ever began."""
+        """Cancels a generation by id and reports whether it had started."""
         request_id = msgspec.json.decode(self.request.body, type=dict[str, str])["request_id"]
         state = self.service.model.cancel(steady_time(), request_id)
         self.answer(CancelReply(state))
@@ -127,7 +127,7 @@
     """`GET /v1/load`."""
 
     def get(self) -> None:
-        """The load, with a lag."""
+        """Returns the load report."""
         self.answer(self.service.report())
 
 
@@ -135,7 +135,7 @@
     """`POST /v1/orders`."""
 
     def post(self) -> None:
-        """Takes a fenced order."""
+        """Applies a fenced order, or answers 409."""
         try:
             self.service.order(msgspec.json.decode(self.request.body, type=EngineOrder))
         except PermissionError as error:
@@ -145,20 +145,20 @@
 
 
 class PeerWeightsHandler(EngineHandler):
-    """`GET /v1/weights/{model}/{version}`: passes weights on to another engine."""
+    """`GET /v1/weights/{model}/{version}`: transfers weights to another engine."""
 
     async def get(self, model: str, version: str) -> None:
-        """Answers when the transfer would be done."""
+        """Responds after the duration of the transfer; no bytes are sent."""
         engine = self.service.model
         if (engine.model, engine.version) != (model, int(version)):
-            self.answer({"error": "not held"}, 404)
+            self.answer({"error": "model version is not loaded"}, 404)
             return
         await asyncio.sleep(engine.parameters.weight_bytes / engine.parameters.peer_bytes_per_s)
         self.answer({})
 
 
 def engine_application(service: EngineService) -> Application:
-    """An engine's interface."""
+    """Returns the web application of an engine."""
     shared = {"service": service}
     return Application(
         [
--- a/stileloom/emulator/json_handler.py
+++ b/stileloom/emulator/json_handler.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' HTTP handlers share."""
+"""Base class of the emulator's HTTP handlers."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class JsonHandler(RequestHandler):
-    """Answers JSON."""
+    """Request handler that responds with JSON."""
 
     def answer(self, value: object, status: int = 200) -> None:
-        """Ends with a JSON document."""
+        """Finishes the response with a JSON document."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(value))
