--- a/stileloom/emulator/http_sampler.py
+++ b/stileloom/emulator/http_sampler.py
@@ -1,7 +1,7 @@
-"""A sampler that speaks HTTP/1.1 with event streams: a stand-in for tests and trials.
+"""Emulated sampler with an HTTP/1.1 interface and event streams, for tests.
 
-Its output is a function of the request alone, so that a text resumed elsewhere can be
-compared with one made in a single run. Faults are set from outside.
+Its output depends only on the request, so a stream that resumes at another sampler can be compared
+with an uninterrupted one. Tests inject faults through `SamplerFaults`.
 """
 
 from __future__ import annotations
@@ -21,57 +21,57 @@
 from stileloom.http.native_dialect import ORDER_TARGET, REPORT_TARGET
 
 EVENT_INTERVAL_S = 0.002
-LOAD_S = 0.02
+LOAD_DURATION_S = 0.02
 
 
 class SamplerFaults(msgspec.Struct):
-    """What goes wrong at a sampler from now on."""
+    """Faults injected into a sampler."""
 
     cut_after_events: int | None = None
-    """Streams break off after so many events."""
+    """Number of events after which the connection of a stream is closed."""
     fail_status: int | None = None
-    """Requests are answered with this status, as run."""
+    """Requests are run and answered with this status."""
     refuse: bool = False
-    """Requests are refused as not run."""
+    """Requests are refused with the header that says they were not run."""
     silent: bool = False
-    """Requests get no answer."""
+    """Requests are accepted and never answered."""
     work_s: float = 0.0
-    """How long a lookup takes."""
+    """Duration of a lookup."""
     ends_at: frozenset[str] = frozenset()
-    """Requests of these targets end the process soon after they begin."""
+    """Requests to these targets crash the sampler."""
     ends_after_s: float = 0.005
-    """How soon."""
+    """Delay between the start of such a request and the crash."""
     resets_at: frozenset[str] = frozenset()
-    """Connections of these requests are reset while the process lives on."""
+    """Requests to these targets have their connection closed; the sampler keeps running."""
 
 
 class RunRecord(msgspec.Struct, frozen=True):
-    """A request that this sampler ran."""
+    """A request that the sampler ran."""
 
     request_id: str
     target: str
     body: bytes
     after_event: int | None
     started_at: float = 0.0
-    """Monotonic seconds."""
+    """On the steady clock."""
 
 
 class WorkGauge(msgspec.Struct):
-    """Lookups that run now, and the most that ever ran at once."""
+    """Current and highest number of concurrent lookups."""
 
     running: int = 0
     most_running: int = 0
 
 
 def expected_events(item_id: str, count: int) -> list[str]:
-    """The data of all events of an item."""
+    """Returns the data of all events of an item."""
     return [
         hashlib.blake2s(f"{item_id}/{n}".encode()).hexdigest()[:12] for n in range(1, count + 1)
     ]
 
 
 class HttpSampler:
-    """One incarnation of a sampler."""
+    """One process of a sampler; a restarted sampler is a new instance."""
 
     def __init__(self, sampler_id: str, model_versions: dict[str, int], events: int = 6) -> None:
         self.sampler_id = sampler_id
@@ -79,39 +79,39 @@
         self.faults = SamplerFaults()
         self.runs: list[RunRecord] = []
         self.whole_at: dict[str, float] = {}
-        """When the last event of a request was made for the first time; seconds of the steady
-        clock. An item may run again after a change of leader."""
+        """By request id, when the last event was first sent, on the steady clock. An item may run
+        again after a change of leader."""
         self.gauge = WorkGauge()
-        """Lookups under way; samplers of one service may share it."""
+        """Running lookups; samplers of one service may share it."""
         self.orders: list[LoadOrder] = []
         self.always_ends_at: frozenset[str] = frozenset()
-        """As `SamplerFaults.ends_at`, whatever faults are set and taken back."""
+        """Like `SamplerFaults.ends_at`, but kept when `faults` is replaced."""
         self.on_end: Callable[[], None] = lambda: None
-        """Called as a request ends the process, before any connection is closed."""
+        """Called when a request crashes the sampler, before its connections are closed."""
         self.ended_by = ""
-        """The target of the newest request when one ended this process; empty while it lives."""
+        """Target of the newest request at the time of a crash; empty before a crash."""
         self._names = HeaderNames()
         self._events = events
         self._fence = 0
-        self._busy_until = 0.0
+        self._loading_until = 0.0
         self._server = HTTPServer(self._serve)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, host: str, port: int = 0) -> int:
-        """Listens, on a port that the kernel chooses unless one is given; returns the port."""
+        """Starts listening and returns the port; the kernel selects one if `port` is 0."""
         sockets = bind_sockets(port, address=host)
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Ends at once, with everything under way."""
+        """Stops listening, cancels all requests and closes all connections."""
         self._server.stop()
         for task in self._tasks:
             task.cancel()
         await self._server.close_all_connections()
 
-    async def _end(self) -> None:
-        """A request ended the process: nobody listens, and every connection is gone."""
+    async def _crash(self) -> None:
+        """Simulates a crash: stops listening and closes all connections."""
         if self.ended_by:
             return
         current = asyncio.current_task()
@@ -144,7 +144,7 @@
 
     def _report(self) -> SamplerReport:
         return SamplerReport(
-            dict(self.model_versions), steady_time() < self._busy_until, len(self.orders)
+            dict(self.model_versions), steady_time() < self._loading_until, len(self.orders)
         )
 
     def _order(self, order: LoadOrder) -> int:
@@ -155,7 +155,7 @@
             return 409
         self.orders.append(order)
         self.model_versions[order.model] = order.version
-        self._busy_until = steady_time() + LOAD_S
+        self._loading_until = steady_time() + LOAD_DURATION_S
         return 202
 
     async def _run(self, request: HTTPServerRequest) -> None:
@@ -167,7 +167,7 @@
         self.runs.append(RunRecord(request_id, target, request.body, after_event, steady_time()))
         if target in self.faults.ends_at | self.always_ends_at:
             await asyncio.sleep(self.faults.ends_after_s)
-            await self._end()
+            await self._crash()
             return
         if target in self.faults.resets_at:
             assert request.connection is not None
@@ -184,7 +184,7 @@
             await self._work(request, headers)
 
     async def _work(self, request: HTTPServerRequest, headers: dict[str, str]) -> None:
-        """A lookup or a reward call; counted while it is worked on."""
+        """Runs a lookup or a reward call and counts it in the gauge."""
         self.gauge.running += 1
         self.gauge.most_running = max(self.gauge.most_running, self.gauge.running)
         try:
@@ -209,9 +209,9 @@
             if cut is not None and number - after > cut:
                 connection.stream.close()  # type: ignore[attr-defined]
                 return
-            now = self.model_versions.get(request.headers["model"], 0)
-            change = f"{self._names.versions.lower()}: {now}\n" if now != version else ""
-            version = now
+            current = self.model_versions.get(request.headers["model"], 0)
+            change = f"{self._names.versions.lower()}: {current}\n" if current != version else ""
+            version = current
             connection.write(f"{change}id: {number}\ndata: {data}\n\n".encode())
         self.whole_at.setdefault(request_id, steady_time())
         connection.finish()
--- a/stileloom/emulator/lookup_load.py
+++ b/stileloom/emulator/lookup_load.py
@@ -1,4 +1,4 @@
-"""Stand-in callers: open-loop lookups whose answers they check themselves."""
+"""Open-loop load generator for lookups that verifies each response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class LookupCounts(msgspec.Struct):
-    """Lookups by what their callers were told."""
+    """Number of lookups by outcome, as seen by the callers."""
 
     sent: int = 0
     completed: int = 0
@@ -35,7 +35,7 @@
 
 
 class LookupLoad:
-    """Sends lookups at a rate, whether or not earlier ones were answered."""
+    """Sends lookups at a fixed mean rate, independent of earlier responses."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
         self._stopped = False
 
     def remove_gateway(self, gateway: str) -> None:
-        """Callers learn that a gateway is gone."""
+        """Stops sending to a gateway."""
         self._clients.pop(gateway, None)
 
     async def run(self) -> None:
-        """Sends until `stop`."""
+        """Sends lookups until `stop` is called."""
         number = 0
         next_at = steady_time()
         while not self._stopped:
@@ -72,7 +72,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Sends no more and waits for what is open."""
+        """Stops sending and waits for open lookups."""
         self._stopped = True
         if self._tasks:
             await asyncio.wait(self._tasks)
@@ -95,7 +95,7 @@
             return
         self.latency_us.record_value(int((steady_time() - started_at) * 1e6))
         self.counts.completed += 1
-        if not self._is_right(query, result):
+        if not self._is_correct(query, result):
             self.counts.wrong_answer += 1
 
     def _count_error(self, error: StileloomError) -> None:
@@ -104,7 +104,7 @@
         else:
             self.counts.unknown += 1
 
-    def _is_right(self, query: str, result: LookupResult) -> bool:
+    def _is_correct(self, query: str, result: LookupResult) -> bool:
         length = natural_length(query, self._description.max_tokens, self._engine)
         expected = [token_content(token) for token in make_tokens(query, 0, length, 0)]
         return [token_content(token) for token in result.tokens] == expected
--- a/stileloom/emulator/sample_audit.py
+++ b/stileloom/emulator/sample_audit.py
@@ -1,4 +1,4 @@
-"""The trainer's own check of what it was delivered; knows nothing of the service's state."""
+"""Verifies the samples delivered to a trainer, independently of the service's state."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class AuditReport(msgspec.Struct):
-    """Counts as a trainer saw them."""
+    """Counts of the samples that a trainer received."""
 
     delivered: int = 0
     duplicated: int = 0
     over_age: int = 0
     wrong_tokens: int = 0
     wrong_versions: int = 0
-    """Samples whose segments do not name the versions that made their tokens."""
+    """Samples whose segments report versions other than those that generated their tokens."""
     ages: list[int] = msgspec.field(default_factory=list)
-    """By sample: versions between the oldest in it and the current one at its training."""
+    """For each sample, the version current at its training minus the oldest one in the sample."""
 
 
 class SampleAudit:
-    """Checks each delivery against the prompt that asked for it."""
+    """Checks each delivery against its prompt."""
 
     def __init__(self, staleness_bound: int) -> None:
         self.report = AuditReport()
@@ -32,16 +32,16 @@
         self._offsets: set[int] = set()
 
     def expect(self, prompt_id: str, text: str, length: int) -> None:
-        """A prompt was submitted."""
+        """Records a submitted prompt."""
         self._expected[prompt_id] = (text, length)
 
     @property
     def lost(self) -> int:
-        """Prompts without a sample; meaningful once everything should be there."""
+        """Number of prompts without a sample; valid once all deliveries are expected."""
         return len(self._expected) - len(self._seen)
 
     def check(self, delivery: DeliveryResult, current_version: int) -> None:
-        """Takes one delivery that is about to be trained on at a version."""
+        """Checks a delivery that is about to be used to train from `current_version`."""
         report = self.report
         report.delivered += 1
         if delivery.prompt_id in self._seen or delivery.offset in self._offsets:
@@ -56,18 +56,18 @@
             report.over_age += 1
 
     def _check_tokens(self, delivery: DeliveryResult) -> None:
-        """Each token must be its prompt's at its place, made by the version that is named."""
+        """Checks that each token matches its prompt, its position and the reported version."""
         text, length = self._expected.get(delivery.prompt_id, ("", -1))
         position = 0
-        right = True
+        matches = True
         for segment in delivery.segments:
             end = segment.first_token + segment.token_count
-            made = delivery.tokens[segment.first_token : end]
-            named = make_tokens(text, segment.first_token, end, segment.weight_version)
-            if segment.first_token != position or made != named:
-                right = False
+            actual = delivery.tokens[segment.first_token : end]
+            expected = make_tokens(text, segment.first_token, end, segment.weight_version)
+            if segment.first_token != position or actual != expected:
+                matches = False
             position = end
-        if right and position == len(delivery.tokens) == length:
+        if matches and position == len(delivery.tokens) == length:
             return
         content = [token_content(token) for token in make_tokens(text, 0, max(0, length), 0)]
         if [token_content(token) for token in delivery.tokens] != content:
--- a/stileloom/emulator/trainer.py
+++ b/stileloom/emulator/trainer.py
@@ -1,4 +1,4 @@
-"""A stand-in trainer: submits prompts, trains on batches, publishes versions, and measures."""
+"""Emulated trainer: submits prompts, consumes batches, publishes versions and verifies samples."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from stileloom.emulator.workload import LengthDistribution, generate_prompt
 from stileloom.http.rounds import PromptBody
 
-FIRST_VERSION = 1
+INITIAL_VERSION = 1
 
 
 class TrainerReport(msgspec.Struct):
-    """What the trainer saw."""
+    """Results of a round as measured by the trainer."""
 
     expected: int
     lost: int
@@ -32,14 +32,14 @@
 
 
 class TrainerProgress(msgspec.Struct):
-    """Written after each step, for whoever watches."""
+    """Progress file, written after each step."""
 
     steps_done: int
     versions_published: int
 
 
 class Trainer:
-    """Runs one round to its last step."""
+    """Runs all steps of one round."""
 
     def __init__(
         self, emulator: EmulatorSettings, settings: TrainerSettings, staleness_bound: int
@@ -53,10 +53,10 @@
         self._rng = random.Random(f"{emulator.seed}/trainer")
         self._submitted_steps = 0
         self._idle_s = 0.0
-        self._version = FIRST_VERSION
+        self._version = INITIAL_VERSION
 
     async def run(self) -> TrainerReport:
-        """All steps. Raises `StileloomError` where the service gives no answer in time."""
+        """Runs all steps. Raises `StileloomError` if the service does not answer in time."""
         settings = self._settings
         started_at = steady_time()
         for step in range(settings.steps):
@@ -69,7 +69,7 @@
             audit=self._audit.report,
             idle_s=self._idle_s,
             total_s=steady_time() - started_at,
-            versions_published=self._version - FIRST_VERSION,
+            versions_published=self._version - INITIAL_VERSION,
             whole_steps=settings.steps,
         )
 
@@ -99,9 +99,9 @@
     async def _train_step(self, step: int) -> None:
         settings = self._settings
         offset = step * settings.samples_per_step
-        waited_from = steady_time()
+        wait_started_at = steady_time()
         result = await self._client.read(offset, settings.samples_per_step)
-        self._idle_s += steady_time() - waited_from
+        self._idle_s += steady_time() - wait_started_at
         for delivery in result.deliveries:
             self._audit.check(delivery, self._version)
         await asyncio.sleep(settings.train_s)
@@ -119,17 +119,17 @@
         await AsyncHTTPClient().fetch(HTTPRequest(url, method="PUT", body=body))
 
     def _write_progress(self, steps_done: int) -> None:
-        progress = TrainerProgress(steps_done, self._version - FIRST_VERSION)
-        aside = Path(f"{self._settings.report}.progress.new")
-        aside.write_bytes(msgspec.json.encode(progress))
-        aside.rename(f"{self._settings.report}.progress")
+        progress = TrainerProgress(steps_done, self._version - INITIAL_VERSION)
+        temporary = Path(f"{self._settings.report}.progress.new")
+        temporary.write_bytes(msgspec.json.encode(progress))
+        temporary.rename(f"{self._settings.report}.progress")
 
 
 async def run_trainer(emulator: EmulatorSettings, staleness_bound: int) -> TrainerReport:
-    """Runs the trainer of a settings file and writes its report."""
+    """Runs the configured trainer and writes its report."""
     assert emulator.trainer is not None
     report = await Trainer(emulator, emulator.trainer, staleness_bound).run()
-    aside = Path(f"{emulator.trainer.report}.new")
-    aside.write_bytes(msgspec.json.encode(report))
-    aside.rename(emulator.trainer.report)
+    temporary = Path(f"{emulator.trainer.report}.new")
+    temporary.write_bytes(msgspec.json.encode(report))
+    temporary.rename(emulator.trainer.report)
     return report
--- a/stileloom/emulator/workload.py
+++ b/stileloom/emulator/workload.py
@@ -1,4 +1,4 @@
-"""Prompts of the stand-in trainers: heavy-tailed lengths, in groups of like length."""
+"""Generates prompts with heavy-tailed lengths, in groups of similar length."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class LengthDistribution(msgspec.Struct, frozen=True):
-    """Log-normal lengths around the median of a group, and a few that are far longer."""
+    """Log-normal lengths around the median of a group, with a share of much longer prompts."""
 
     median_tokens: int
     sigma: float
     long_fraction: float
-    """Share of prompts whose length is `long_factor` medians."""
+    """Share of prompts with a median of `long_factor * median_tokens`."""
     long_factor: int
     max_tokens: int
     groups: int
-    """Groups have medians spread from half to twice the median; the last holds the long ones."""
+    """Group medians range from half to twice the median; the last group has the long prompts."""
 
 
 class GeneratedPrompt(msgspec.Struct, frozen=True):
-    """A prompt and what the stand-in engines will make of it."""
+    """A prompt and the length that emulated engines generate for it."""
 
     prompt_id: str
     text: str
@@ -34,7 +34,7 @@
 def generate_prompt(
     rng: random.Random, name: str, number: int, lengths: LengthDistribution
 ) -> GeneratedPrompt:
-    """Draws one prompt."""
+    """Generates a random prompt."""
     if rng.random() < lengths.long_fraction:
         group = lengths.groups - 1
         median = float(lengths.median_tokens * lengths.long_factor)
