--- a/stileloom/emulator/__init__.py
+++ b/stileloom/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: object API, machine list, weight store, engines, trainers."""
+"""Emulator of the platform: object API, machine list, weight store, engines and trainers."""
--- a/stileloom/emulator/controller_bench.py
+++ b/stileloom/emulator/controller_bench.py
@@ -1,4 +1,4 @@
-"""Benchmark of the controller's tick: real time of the plan for many rounds and samplers."""
+"""Controller benchmark: duration of a tick for many rounds and samplers."""
 
 from __future__ import annotations
 
@@ -31,32 +31,32 @@
 MAX_RUNNING = 32
 TICK_S = 0.1
 STALENESS_BOUND = 1
-ENDS_PER_TICK_DIVISOR = 600
-"""Of all slots under way, one in so many ends at each tick."""
+RUNNING_PER_COMPLETION = 600
+"""At each tick, one in this many running generations completes."""
 
 
 class ControllerBenchResult(msgspec.Struct):
-    """Processor time of the controller's ticks."""
+    """Duration of the controller's ticks."""
 
     rounds: int
     samples_per_step: int
     samplers: int
     first_tick_ms: float
-    """Every slot is open and starts."""
+    """The first tick starts the generations of all open slots."""
     tick_ms_mean: float
     tick_ms_p99: float
     core_fraction: float
-    """At ten ticks a second."""
+    """Fraction of a core at one tick per `TICK_S`."""
 
 
 def run_controller_bench(
     rounds: int, samples_per_step: int, samplers: int, ticks: int = 100
 ) -> ControllerBenchResult:
-    """Ticks with a steady flow of finished generations."""
-    view = _view(rounds, samples_per_step, samplers)
+    """Runs `ticks` ticks with a constant share of generations finishing in each."""
+    view = _controller_view(rounds, samples_per_step, samplers)
     controller = Controller(1, DefaultScheduler(), 0.0, itertools.count(1))
     now = 10.0
-    _report(view.table, samplers, now)
+    _report_load(view.table, samplers, now)
     started = time.perf_counter()
     effects = controller.tick(now, view)
     first_ms = (time.perf_counter() - started) * 1000
@@ -65,8 +65,8 @@
     times: list[float] = []
     for _ in range(ticks):
         now += TICK_S
-        ends = max(1, len(open_starts) // ENDS_PER_TICK_DIVISOR)
-        finished, open_starts = open_starts[:ends], open_starts[ends:]
+        completions = max(1, len(open_starts) // RUNNING_PER_COMPLETION)
+        finished, open_starts = open_starts[:completions], open_starts[completions:]
         started = time.perf_counter()
         for start in finished:
             message = GenerationFinished(start.key, start.sampler_id, 100, True)
@@ -76,7 +76,7 @@
         times.append((time.perf_counter() - started) * 1000)
         sent = [e.message for e in effects if isinstance(e, Send)]
         open_starts += [message for message in sent if isinstance(message, StartGeneration)]
-        _report(view.table, samplers, now)
+        _report_load(view.table, samplers, now)
     ordered = sorted(times)
     mean_ms = statistics.fmean(times)
     return ControllerBenchResult(
@@ -90,7 +90,7 @@
     )
 
 
-def _view(rounds: int, samples_per_step: int, samplers: int) -> ControllerView:
+def _controller_view(rounds: int, samples_per_step: int, samplers: int) -> ControllerView:
     state = LedgerState()
     names = [f"round-{number}" for number in range(rounds)]
     for name in names:
@@ -130,7 +130,7 @@
     )
 
 
-def _report(table: SamplerTable, samplers: int, now: float) -> None:
+def _report_load(table: SamplerTable, samplers: int, now: float) -> None:
     rows = [
         LoadRow(
             view.sampler_id,
--- a/stileloom/emulator/demo.py
+++ b/stileloom/emulator/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a deployment as separate processes, with faults, judged from outside."""
+"""Demo: runs a deployment as separate processes, injects faults and checks the results."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 POLL_S = 0.1
 
 Progress = Callable[[str, float], None]
-"""Called with what goes on and the fraction done."""
+"""Called with a description of the current step and the completed fraction."""
 
 
 class SampleCounts(msgspec.Struct):
-    """Samples as the trainer saw them."""
+    """Sample counts as measured by the trainer."""
 
     expected: int
     delivered: int
@@ -37,7 +37,7 @@
 
 
 class StalenessReport(msgspec.Struct):
-    """Versions between the oldest in a sample and the current one at its training."""
+    """Distribution of the version current at training minus the oldest one in a sample."""
 
     p50: float
     p99: float
@@ -46,14 +46,14 @@
 
 
 class LatencyReport(msgspec.Struct):
-    """Milliseconds from sending a lookup to its whole answer."""
+    """Milliseconds from load_task a lookup to its complete response."""
 
     p50: float
     p99: float
 
 
 class DemoReport(msgspec.Struct):
-    """The report of a run; every count is the trainer's or the callers' own."""
+    """Report of a run; all counts are measured by the trainer or the callers."""
 
     deployment: str
     seed: int
@@ -71,7 +71,7 @@
     drained_exit_code: int | None
     duration_s: float
     failures: list[str]
-    """Promises that the run broke; empty for a good run."""
+    """Guarantees that the run violated."""
 
 
 class Demo:
@@ -96,16 +96,16 @@
         self._drained_exit_code: int | None = None
 
     async def run(self) -> DemoReport:
-        """The whole run. Raises `StileloomError` where it can not be brought to its end."""
+        """Runs the demo. Raises `StileloomError` if it cannot be completed."""
         started_at = steady_time()
         try:
             await self._start()
             load = self._make_load()
-            sending = asyncio.get_running_loop().create_task(load.run())
+            load_task = asyncio.get_running_loop().create_task(load.run())
             self._processes.start_trainer(self._deployment.trainer.staleness_bound)
             trainer = await self._watch_trainer(load, started_at)
             await load.stop()
-            await sending
+            await load_task
             return self._report(trainer, load, steady_time() - started_at)
         finally:
             self._processes.stop_all()
@@ -133,28 +133,28 @@
 
     async def _wait_ready(self, node: NodeAddress) -> None:
         caller = HttpCaller([_http(node)])
-        give_up_at = steady_time() + RUN_TIMEOUT_S / 2
+        deadline = steady_time() + RUN_TIMEOUT_S / 2
         while True:
             try:
                 await caller.call("GET", "/readyz")
                 return
             except StileloomError:
-                if steady_time() >= give_up_at:
+                if steady_time() >= deadline:
                     raise
             await asyncio.sleep(POLL_S)
 
     async def _wait_serving(self) -> None:
-        """Until every sampler has been heard of by the leader."""
-        give_up_at = steady_time() + RUN_TIMEOUT_S / 2
-        while steady_time() < give_up_at:
+        """Waits until the leader reports every sampler as serving."""
+        deadline = steady_time() + RUN_TIMEOUT_S / 2
+        while steady_time() < deadline:
             status = await self._status(self._files.nodes[0])
             leader = status.leader
             if leader is not None and leader.samplers:
-                heard = [sampler.state == "serving" for sampler in leader.samplers]
-                if all(heard) and len(heard) == len(self._files.samplers):
+                is_serving = [sampler.state == "serving" for sampler in leader.samplers]
+                if all(is_serving) and len(is_serving) == len(self._files.samplers):
                     return
             await asyncio.sleep(POLL_S)
-        raise StileloomError(ErrorKind.NO_SAMPLER, "not every sampler was heard of")
+        raise StileloomError(ErrorKind.NO_SAMPLER, "not every sampler is serving")
 
     async def _status(self, node: NodeAddress) -> Status:
         response = await HttpCaller([_http(node)]).call("GET", "/v1/status")
@@ -165,13 +165,13 @@
         return LookupLoad(gateways, self._deployment.lookups, self._deployment.engine, self._seed)
 
     async def _watch_trainer(self, load: LookupLoad, started_at: float) -> TrainerReport:
-        """Follows the trainer; kills one node after its first version, drains one later."""
+        """Waits for the trainer; kills the leader after one version and drains a node after two."""
         report = Path(self._files.trainer_report)
         while not report.exists():
             if not self._processes.is_running("trainer") and not report.exists():
-                raise StileloomError(ErrorKind.INTERNAL, "the trainer ended without a report")
+                raise StileloomError(ErrorKind.INTERNAL, "the trainer exited without a report")
             if steady_time() >= started_at + RUN_TIMEOUT_S:
-                raise StileloomError(ErrorKind.INTERNAL, "the run did not end in time")
+                raise StileloomError(ErrorKind.INTERNAL, "the run did not finish in time")
             published = self._published()
             steps = self._deployment.trainer.steps
             self._progress(f"{published} weight versions published", 0.2 + 0.75 * published / steps)
@@ -199,7 +199,7 @@
         load.remove_gateway(_http(node))
 
     async def _drain_node(self, load: LookupLoad) -> None:
-        """A node without a ledger in another zone, so that a majority stays."""
+        """Drains a node without a ledger in another zone, so that the ledger keeps its majority."""
         killed_zone = self._killed.zone if self._killed is not None else ""
         node = next(
             node for node in self._files.nodes if not node.data_folder and node.zone != killed_zone
@@ -239,13 +239,13 @@
 
 
 def staleness_report(ages: list[int], bound: int) -> StalenessReport:
-    """Percentiles of ages by nearest rank."""
+    """Returns nearest-percentile percentiles of the ages."""
     ordered = sorted(ages) or [0]
 
-    def rank(fraction: float) -> int:
+    def percentile(fraction: float) -> int:
         return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
-    return StalenessReport(rank(0.50), rank(0.99), ordered[-1], bound)
+    return StalenessReport(percentile(0.50), percentile(0.99), ordered[-1], bound)
 
 
 def _failures(report: DemoReport) -> list[str]:
@@ -260,7 +260,7 @@
         "the drained node did not exit with 0": report.drained_exit_code != 0,
         "no lookup was completed": report.lookups.completed == 0,
     }
-    return [text for text, broken in checks.items() if broken]
+    return [text for text, failed in checks.items() if failed]
 
 
 def _http(node: NodeAddress) -> str:
--- a/stileloom/emulator/deployment.py
+++ b/stileloom/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment's description, and the settings files that follow from it."""
+"""Deployment descriptions and the settings files generated from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PoolDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A pool: the zone of each of its samplers."""
+    """A pool; `samplers` lists the zone of each sampler."""
 
     name: str
     role: SamplerRole
@@ -24,13 +24,13 @@
 
 
 class WeightStoreDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The weight store's rate."""
+    """Transfer rate of the weight store."""
 
     bytes_per_s: float
 
 
 class TrainerDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The trainer of the demo and the bench."""
+    """Trainer of the demo and the benchmark."""
 
     round_name: str
     staleness_bound: int
@@ -45,7 +45,7 @@
 
 
 class LookupDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The lookups of the demo."""
+    """Lookup load of the demo."""
 
     service: str
     rate_per_s: float
@@ -55,7 +55,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole deployment on one machine."""
+    """A complete deployment on one machine."""
 
     name: str
     region: str
@@ -72,19 +72,19 @@
 
 
 class NodeAddress(msgspec.Struct, frozen=True):
-    """A node of a run."""
+    """Addresses and files of a node."""
 
     node_id: str
     zone: str
     port: int
     http_port: int
     data_folder: str
-    """Empty on nodes that keep nothing."""
+    """Empty on nodes without a ledger."""
     settings_file: str
 
 
 class RunFiles(msgspec.Struct, frozen=True):
-    """The files and addresses of one run."""
+    """Files and addresses of one run."""
 
     folder: str
     emulator_file: str
@@ -103,56 +103,60 @@
     return load_settings(path, Deployment)
 
 
-class Ports:
-    """Ports chosen by the kernel; all sockets are held until the last one is drawn."""
+class PortAllocator:
+    """Allocates free ports; their sockets stay bound until `release`, to avoid duplicates."""
 
     def __init__(self) -> None:
-        self._held: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
-    def draw(self) -> int:
-        """A port that was free for TCP and UDP a moment ago."""
+    def allocate(self) -> int:
+        """Returns a port that is free for both TCP and UDP."""
         while True:
             tcp = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             tcp.bind(("127.0.0.1", 0))
             port = tcp.getsockname()[1]
             udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self._held.append(tcp)
+            self._sockets.append(tcp)
             try:
                 udp.bind(("127.0.0.1", port))
             except OSError:
                 continue
-            self._held.append(udp)
+            self._sockets.append(udp)
             return port
 
     def release(self) -> None:
-        """Lets all ports go."""
-        for held in self._held:
-            held.close()
+        """Closes the sockets of all allocated ports."""
+        for bound_socket in self._sockets:
+            bound_socket.close()
 
 
 def write_run_files(
     deployment: Deployment, objects_file: Path, folder: Path, seed: int, scheduler: str
 ) -> RunFiles:
-    """Writes the settings of every process of a run into a folder."""
-    ports = Ports()
-    nodes = _draw_nodes(deployment, folder, ports)
-    object_api_port, machines_port, weights_port = ports.draw(), ports.draw(), ports.draw()
+    """Writes the settings files of all processes of a run."""
+    ports = PortAllocator()
+    nodes = _node_addresses(deployment, folder, ports)
+    object_api_port, machines_port, weights_port = (
+        ports.allocate(),
+        ports.allocate(),
+        ports.allocate(),
+    )
     samplers = _sampler_tables(deployment, ports)
     ports.release()
-    report = folder / "trainer-report.json"
+    report_file = folder / "trainer-report.json"
     emulator = {
         "seed": seed,
         "object_api": {"port": object_api_port},
         "machine_list": {"port": machines_port, "lag_s": 1.0},
         "weight_store": {"port": weights_port, "bytes_per_s": deployment.weight_store.bytes_per_s},
         "samplers": samplers,
-        "trainer": _trainer_table(deployment, nodes, report),
+        "trainer": _trainer_table(deployment, nodes, report_file),
     }
     emulator_file = folder / "emulator.toml"
-    emulator_file.write_text(toml_of(emulator))
+    emulator_file.write_text(to_toml(emulator))
     for node in nodes:
         table = _node_table(deployment, node, nodes, object_api_port, machines_port, scheduler)
-        Path(node.settings_file).write_text(toml_of(table))
+        Path(node.settings_file).write_text(to_toml(table))
     return RunFiles(
         folder=str(folder),
         emulator_file=str(emulator_file),
@@ -160,11 +164,13 @@
         nodes=nodes,
         samplers=[str(sampler["sampler_id"]) for sampler in samplers],
         object_api_port=object_api_port,
-        trainer_report=str(report),
+        trainer_report=str(report_file),
     )
 
 
-def _draw_nodes(deployment: Deployment, folder: Path, ports: Ports) -> list[NodeAddress]:
+def _node_addresses(
+    deployment: Deployment, folder: Path, ports: PortAllocator
+) -> list[NodeAddress]:
     nodes: list[NodeAddress] = []
     for zone in deployment.zones:
         for number in range(1, deployment.nodes_per_zone + 1):
@@ -172,12 +178,12 @@
             data = str(folder / f"{node_id}.data") if number == 1 else ""
             settings_file = str(folder / f"{node_id}.toml")
             nodes.append(
-                NodeAddress(node_id, zone, ports.draw(), ports.draw(), data, settings_file)
+                NodeAddress(node_id, zone, ports.allocate(), ports.allocate(), data, settings_file)
             )
     return nodes
 
 
-def _sampler_tables(deployment: Deployment, ports: Ports) -> list[dict[str, object]]:
+def _sampler_tables(deployment: Deployment, ports: PortAllocator) -> list[dict[str, object]]:
     tables: list[dict[str, object]] = []
     engine = msgspec.to_builtins(deployment.engine)
     for pool in deployment.pools:
@@ -187,7 +193,7 @@
                     "sampler_id": f"{pool.name}-{number}",
                     "pool": pool.name,
                     "zone": zone,
-                    "port": ports.draw(),
+                    "port": ports.allocate(),
                     "role": pool.role.value,
                     "model": pool.model,
                     "engine": engine,
@@ -197,12 +203,12 @@
 
 
 def _trainer_table(
-    deployment: Deployment, nodes: list[NodeAddress], report: Path
+    deployment: Deployment, nodes: list[NodeAddress], report_file: Path
 ) -> dict[str, object]:
     table = msgspec.to_builtins(deployment.trainer)
     del table["staleness_bound"]
     table["gateways"] = [f"127.0.0.1:{node.http_port}" for node in nodes]
-    table["report"] = str(report)
+    table["report"] = str(report_file)
     return table
 
 
@@ -233,17 +239,19 @@
     }
 
 
-def toml_of(table: dict[str, object]) -> str:
-    """TOML of a table; values are written as JSON, which TOML's inline values include."""
+def to_toml(table: dict[str, object]) -> str:
+    """Returns a table as TOML; scalars are written as JSON, which is valid TOML for them."""
     lines: list[str] = []
     for key, value in table.items():
-        lines.append(f"{key} = {_inline(value)}")
+        lines.append(f"{key} = {_toml_value(value)}")
     return "\n".join(lines) + "\n"
 
 
-def _inline(value: object) -> str:
+def _toml_value(value: object) -> str:
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {_inline(item)}" for key, item in value.items()) + " }"
+        return (
+            "{ " + ", ".join(f"{key} = {_toml_value(item)}" for key, item in value.items()) + " }"
+        )
     if isinstance(value, list):
-        return "[" + ", ".join(_inline(item) for item in value) + "]"
+        return "[" + ", ".join(_toml_value(item) for item in value) + "]"
     return json.dumps(value)
--- a/stileloom/emulator/hollow.py
+++ b/stileloom/emulator/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow nodes: real node cores and sockets, many in a process, without engines behind them.
+"""Hollow nodes for scale tests: many nodes in one process, without engines.
 
-Everything between the nodes is real: membership, configuration, machine list, load reports.
-Engines are not asked; their load is drawn. A hollow node serves no HTTP.
+Hollow nodes run the real node core and exchange real messages for membership, configuration,
+machine list and load reports. Engine load is random, and hollow nodes serve no HTTP.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from stileloom.settings_file import Address, Port, split_address
 
 MAX_RUNNING = 32
-REPORT_EVERY_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 class HollowNode(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One hollow node."""
+    """Settings of a hollow node."""
 
     node_id: str
     zone: str
@@ -41,19 +41,19 @@
 
 
 class HollowSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The hollow nodes of one process."""
+    """Settings of a process with hollow nodes."""
 
     nodes: list[HollowNode]
     seeds: list[Address]
     object_api: Address
     machine_list: Address
     report: str
-    """File that the counts are written to, once a second."""
+    """File to which the report is written, once per second."""
     host: str = "127.0.0.1"
 
 
 class NodeCount(msgspec.Struct):
-    """Traffic of one node since its start."""
+    """Traffic and state of a node; byte and message counts are since its start."""
 
     node_id: str
     sent_bytes: int
@@ -65,22 +65,22 @@
 
 
 class HollowReport(msgspec.Struct):
-    """Counts of one process."""
+    """Resource usage of a process and the counts of its nodes."""
 
     at_s: float
     cpu_s: float
-    """Processor time of the whole process since its start."""
+    """CPU time of the process since its start."""
     memory_bytes: int
-    """Largest resident size of the process."""
+    """Peak resident set size of the process."""
     nodes: list[NodeCount]
 
 
 class HollowShell(Shell):
-    """A shell whose engines only pretend."""
+    """A shell that simulates engines with random load and fails all streams."""
 
     def __init__(self, core: NodeCore, api: ObjectApi, machines: MachineList, seed: int) -> None:
         super().__init__(core, EventLog(core.node_id), api, machines, None)
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
 
     async def _query_load(self, effect: QueryLoad) -> None:
         sampler = self.core.table.get(effect.sampler_id)
@@ -93,7 +93,7 @@
             role=SamplerRole.LOOKUP if lookup else SamplerRole.ROLLOUT,
             model="model",
             weight_version=1,
-            running=self._draws.randrange(MAX_RUNNING),
+            running=self._rng.randrange(MAX_RUNNING),
             waiting=0,
             max_running=MAX_RUNNING,
             last_order=FencingToken(0, 0),
@@ -102,7 +102,9 @@
 
     async def _stream(self, effect: OpenStream) -> None:
         request_id = effect.request.request_id
-        self.run(self.core.stream_failed(self.now(), request_id, True, "hollow"))
+        self.run(
+            self.core.stream_failed(self.now(), request_id, True, "hollow nodes have no engines")
+        )
 
     async def _send_order(self, effect: SendOrder) -> None:
         return
@@ -117,7 +119,7 @@
     while not stop.is_set():
         _write_report(Path(settings.report), shells)
         try:
-            async with asyncio.timeout(REPORT_EVERY_S):
+            async with asyncio.timeout(REPORT_INTERVAL_S):
                 await stop.wait()
         except TimeoutError:
             continue
@@ -151,14 +153,14 @@
         at_s=steady_time(),
         cpu_s=usage.ru_utime + usage.ru_stime,
         memory_bytes=usage.ru_maxrss * unit,
-        nodes=[_count(shell) for shell in shells],
+        nodes=[_node_count(shell) for shell in shells],
     )
-    aside = path.with_suffix(".new")
-    aside.write_bytes(msgspec.json.encode(report))
-    aside.rename(path)
+    temporary = path.with_suffix(".new")
+    temporary.write_bytes(msgspec.json.encode(report))
+    temporary.rename(path)
 
 
-def _count(shell: HollowShell) -> NodeCount:
+def _node_count(shell: HollowShell) -> NodeCount:
     traffic = shell.network.traffic
     return NodeCount(
         node_id=shell.core.node_id,
--- a/stileloom/emulator/ledger_bench.py
+++ b/stileloom/emulator/ledger_bench.py
@@ -1,4 +1,4 @@
-"""Benchmark of the ledger: three nodes over loopback TCP with real files and fsync."""
+"""Ledger benchmark: three nodes over loopback TCP, with files on disk and fsync."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stileloom.clock import steady_time
 from stileloom.daemon.platform_client import MachineList, ObjectApi
 from stileloom.daemon.shell import Shell
-from stileloom.emulator.deployment import Ports
+from stileloom.emulator.deployment import PortAllocator
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.ledger import LedgerReplica, fresh_ledger
 from stileloom.ledger.commands import (
@@ -36,38 +36,38 @@
 SAMPLE_TOKENS = 1000
 PROMPTS_PER_BATCH = 1024
 FAILOVERS = 5
-NOWHERE = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 LEADER_TIMEOUT_S = 20.0
 
 
 class LedgerBenchResult(msgspec.Struct):
-    """What three voters on one machine do."""
+    """Throughput, latency and failover time of three voters on one machine."""
 
     commits_per_s: float
     commit_ms_p50: float
     commit_ms_p99: float
     journal_bytes_per_sample: float
-    """At one voter, for samples of `sample_tokens` tokens."""
+    """Per voter, for samples of `sample_tokens` tokens."""
     sent_bytes_per_sample: float
-    """By the leader, to both followers."""
+    """Sent by the leader to both followers."""
     sample_tokens: int
     failover_s: list[float]
-    """From stopping the leader to another one that may act."""
+    """Seconds from stopping the leader until another node is leader."""
 
 
-class _Trio:
-    """Three shells in one process."""
+class _Cluster:
+    """Three nodes in one process."""
 
     def __init__(self, folder: Path) -> None:
         self.shells: dict[str, Shell] = {}
         self._folder = folder
-        ports = Ports()
-        self._ports = {f"voter-{number}": ports.draw() for number in range(NODES)}
+        ports = PortAllocator()
+        self._ports = {f"voter-{number}": ports.allocate() for number in range(NODES)}
         ports.release()
         self._voters = [Voter(name, f"disk-{name}") for name in self._ports]
 
     async def start(self, name: str) -> None:
-        """Starts one node on its files."""
+        """Starts a node and recovers its ledger from disk."""
         folder = self._folder / name
         storage = LedgerStorage(folder)
         recovered = storage.recover()
@@ -83,13 +83,13 @@
         replica = LedgerReplica(voter, recovered, rng, now)
         seeds = [Seed("127.0.0.1", other) for other in self._ports.values() if other != port]
         core = NodeCore(member, seeds, rng, now, replica)
-        api, machines = ObjectApi(NOWHERE), MachineList(NOWHERE)
+        api, machines = ObjectApi(UNUSED_ADDRESS), MachineList(UNUSED_ADDRESS)
         shell = Shell(core, EventLog(name), api, machines, storage)
         await shell.start("127.0.0.1", port)
         self.shells[name] = shell
 
     def leader(self) -> Shell | None:
-        """The node that may act."""
+        """Returns the current leader, or None."""
         for shell in self.shells.values():
             replica = shell.core.replica
             if replica is not None and replica.may_act(shell.now()):
@@ -97,40 +97,40 @@
         return None
 
     async def wait_leader(self) -> Shell:
-        """Waits for one. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
+        """Waits for a leader. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
         give_up_at = steady_time() + LEADER_TIMEOUT_S
         while steady_time() < give_up_at:
             leader = self.leader()
             if leader is not None:
                 return leader
             await asyncio.sleep(0.005)
-        raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "no leader")
+        raise StileloomError(
+            ErrorKind.LEDGER_UNAVAILABLE, f"no leader within {LEADER_TIMEOUT_S:.0f} s"
+        )
 
     def stop(self, name: str) -> None:
-        """Ends one node."""
         self.shells.pop(name).stop()
 
     def stop_all(self) -> None:
-        """Ends every node."""
         for name in list(self.shells):
             self.stop(name)
 
 
 async def run_ledger_bench(folder: Path, seconds: float) -> LedgerBenchResult:
-    """Commits samples for some seconds, then stops leaders."""
+    """Commits samples for `seconds`, then measures failovers."""
     configure_logs("error")
-    trio = _Trio(folder)
+    cluster = _Cluster(folder)
     try:
         for number in range(NODES):
-            await trio.start(f"voter-{number}")
-        leader = await trio.wait_leader()
+            await cluster.start(f"voter-{number}")
+        leader = await cluster.wait_leader()
         times, sent = await _commit_samples(leader, seconds)
         journal = folder / leader.core.node_id / "journal"
         journal_bytes = journal.stat().st_size
         entries = leader.core.replica.log_length if leader.core.replica is not None else 1
-        failovers = [await _fail_over(trio) for _ in range(FAILOVERS)]
+        failovers = [await _measure_failover(cluster) for _ in range(FAILOVERS)]
     finally:
-        trio.stop_all()
+        cluster.stop_all()
     ordered = sorted(times)
     return LedgerBenchResult(
         commits_per_s=round(len(times) / seconds, 1),
@@ -170,7 +170,7 @@
             await leader.command(CommitSample(ROUND, sample))
             times.append(steady_time() - started_at)
             if slot % PROMPTS_PER_BATCH == PROMPTS_PER_BATCH // 2:
-                # A trainer keeps up, so that the state does not grow.
+                # Acknowledge samples as a trainer would, so that the state does not grow.
                 await leader.command(HandOver(ROUND, slot - CONCURRENCY))
                 await leader.command(AcknowledgeDeliveries(ROUND, slot - CONCURRENCY))
 
@@ -178,13 +178,13 @@
     return times, leader.network.traffic.sent_bytes - sent_before
 
 
-async def _fail_over(trio: _Trio) -> float:
-    leader = await trio.wait_leader()
+async def _measure_failover(cluster: _Cluster) -> float:
+    leader = await cluster.wait_leader()
     name = leader.core.node_id
-    trio.stop(name)
+    cluster.stop(name)
     stopped_at = steady_time()
-    await trio.wait_leader()
-    taken_s = steady_time() - stopped_at
-    await trio.start(name)
+    await cluster.wait_leader()
+    failover_s = steady_time() - stopped_at
+    await cluster.start(name)
     await asyncio.sleep(2.0)
-    return taken_s
+    return failover_s
--- a/stileloom/emulator/object_api_model.py
+++ b/stileloom/emulator/object_api_model.py
@@ -1,4 +1,4 @@
-"""The platform's object API as a model: revisions, compare-and-swap, a log of changes."""
+"""In-memory model of the platform's object store, with revisions and compare-and-swap."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ApiObject(msgspec.Struct, frozen=True):
-    """One object."""
+    """A stored object."""
 
     kind: str
     name: str
@@ -18,27 +18,27 @@
 
 
 class CasConflictError(Exception):
-    """The object is not at the revision that the writer expected."""
+    """The object's revision differs from the one that the writer expected."""
 
     def __init__(self, current: ApiObject | None) -> None:
         self.current = current
-        held = f"revision {current.revision} by {current.change_id}" if current else "no object"
-        super().__init__(f"expected another revision; there is {held}")
+        found = f"revision {current.revision} by {current.change_id}" if current else "no object"
+        super().__init__(f"revision conflict: found {found}")
 
 
 class ObjectApiModel:
-    """The store. It is linearizable; faults are added around it."""
+    """A linearizable object store; the server injects the faults."""
 
     def __init__(self) -> None:
         self.revision = 0
         self._objects: dict[tuple[str, str], ApiObject] = {}
 
     def list(self) -> list[ApiObject]:
-        """All objects in a stable order."""
+        """Returns all objects, ordered by kind and name."""
         return [self._objects[key] for key in sorted(self._objects)]
 
     def get(self, kind: str, name: str) -> ApiObject | None:
-        """One object, or None."""
+        """Returns an object, or None if it does not exist."""
         return self._objects.get((kind, name))
 
     def write(
@@ -49,14 +49,14 @@
         change_id: str,
         spec: dict[str, object] | None,
     ) -> int:
-        """Compare-and-swap; `spec` None deletes. Returns the new revision.
+        """Writes an object with compare-and-swap and returns the new revision.
 
-        `expected` 0 means that the object must not exist, None that anything goes. Raises
-        `CasConflictError`.
+        A `spec` of None deletes the object. An `expected` revision of 0 requires that it does not
+        exist; None skips the comparison. Raises `CasConflictError`.
         """
         current = self._objects.get((kind, name))
-        held = current.revision if current is not None else 0
-        if expected is not None and expected != held:
+        current_revision = current.revision if current is not None else 0
+        if expected is not None and expected != current_revision:
             raise CasConflictError(current)
         self.revision += 1
         if spec is None:
--- a/stileloom/emulator/object_api_server.py
+++ b/stileloom/emulator/object_api_server.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP, with its faults."""
+"""HTTP server of the emulated object API, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class ObjectApiState:
-    """The store with its faults."""
+    """The object store and the injected faults."""
 
     def __init__(self, settings: EmulatorSettings) -> None:
         self.model = ObjectApiModel()
         self.delay_s = settings.object_api.delay_s
         self.lost_answer_probability = settings.object_api.lost_answer_probability
-        self.down_until = 0.0
+        self.unavailable_until = 0.0
         self.rng = random.Random(f"{settings.seed}/object-api")
 
 
 class ObjectApiHandler(JsonHandler):
-    """Base: applies the faults."""
+    """Base class that applies the injected faults."""
 
     def initialize(self, state: ObjectApiState) -> None:
-        """Takes the shared state."""
+        """Sets the shared state; called by tornado."""
         self.state = state
 
     async def prepare(self) -> None:
-        """Slow, or down."""
+        """Delays the response, or answers 503 during an outage."""
         if self.state.delay_s:
             await asyncio.sleep(self.state.delay_s)
-        if steady_time() < self.state.down_until:
+        if steady_time() < self.state.unavailable_until:
             self.set_status(503)
             self.finish()
 
@@ -47,7 +47,7 @@
     """`GET /objects`."""
 
     def get(self) -> None:
-        """Everything at one revision."""
+        """Returns all objects and the current revision."""
         model = self.state.model
         self.answer({"revision": model.revision, "objects": model.list()})
 
@@ -56,7 +56,7 @@
     """`GET /watch?after=&wait_s=`."""
 
     async def get(self) -> None:
-        """Everything as soon as the revision is above `after`, or 204."""
+        """Returns all objects once the revision exceeds `after`, or 204 on a timeout."""
         after = int(self.get_query_argument("after"))
         give_up_at = steady_time() + float(self.get_query_argument("wait_s", "1"))
         model = self.state.model
@@ -73,7 +73,7 @@
     """`GET`, `PUT`, `DELETE /objects/{kind}/{name}`."""
 
     def get(self, kind: str, name: str) -> None:
-        """One object."""
+        """Returns an object, or 404."""
         stored = self.state.model.get(kind, name)
         if stored is None:
             self.answer({"error": "no such object"}, 404)
@@ -81,11 +81,11 @@
             self.answer(stored)
 
     def put(self, kind: str, name: str) -> None:
-        """Compare-and-swap."""
+        """Writes an object with compare-and-swap."""
         self._write(kind, name, msgspec.json.decode(self.request.body))
 
     def delete(self, kind: str, name: str) -> None:
-        """Compare-and-swap to nothing."""
+        """Deletes an object with compare-and-swap."""
         self._write(kind, name, None)
 
     def _write(self, kind: str, name: str, spec: dict[str, object] | None) -> None:
@@ -107,17 +107,17 @@
 
 
 class FaultHandler(JsonHandler):
-    """`POST /faults`: sets `down_s`, `delay_s` or `lost_answer_probability` from now on."""
+    """`POST /faults`: sets `down_s`, `delay_s` or `lost_answer_probability`."""
 
     def initialize(self, state: ObjectApiState) -> None:
-        """Takes the shared state."""
+        """Sets the shared state; called by tornado."""
         self.state = state
 
     def post(self) -> None:
-        """Brings a fault about."""
+        """Injects faults."""
         body = msgspec.json.decode(self.request.body, type=dict[str, float])
         if "down_s" in body:
-            self.state.down_until = steady_time() + body["down_s"]
+            self.state.unavailable_until = steady_time() + body["down_s"]
         self.state.delay_s = body.get("delay_s", self.state.delay_s)
         self.state.lost_answer_probability = body.get(
             "lost_answer_probability", self.state.lost_answer_probability
@@ -126,7 +126,7 @@
 
 
 def object_api_application(settings: EmulatorSettings) -> Application:
-    """The object API."""
+    """Returns the web application of the object API."""
     shared = {"state": ObjectApiState(settings)}
     return Application(
         [
--- a/stileloom/emulator/settings.py
+++ b/stileloom/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins: one file for a whole platform."""
+"""Settings of the emulator: one file for all emulated services."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class ObjectApiSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The object API's port and its faults."""
+    """Port and injected faults of the object API."""
 
     port: Port
     delay_s: float = 0.0
-    """Added to each answer."""
+    """Delay added to each response."""
     lost_answer_probability: float = 0.0
-    """Chance that a write takes effect and its answer is lost."""
+    """Probability that a write is applied but answered with an error."""
 
 
 class MachineListSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The machine list's port and lag."""
+    """Port of the machine list and the delay until changes are visible."""
 
     port: Port
     lag_s: float = 2.0
 
 
 class WeightStoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The weight store's port and rate, shared by all that load from it."""
+    """Port of the weight store and its total transfer rate."""
 
     port: Port
     bytes_per_s: float = 4_000_000_000.0
 
 
 class SamplerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One engine."""
+    """An emulated engine."""
 
     sampler_id: Name
     pool: Name
@@ -47,29 +47,29 @@
 
 
 class TrainerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The trainer's work."""
+    """Settings of the emulated trainer."""
 
     round_name: str
     gateways: list[Address]
     steps: int = 3
     samples_per_step: int = 16
     train_s: float = 1.0
-    """Time of one training step."""
+    """Duration of a training step."""
     prompts_ahead: int = 3
-    """Steps' worth of prompts that are submitted ahead."""
+    """Number of steps for which prompts are submitted in advance."""
     max_tokens: int = 600
     length_median_tokens: int = 60
     length_sigma: float = 0.6
     long_fraction: float = 0.04
     long_factor: int = 8
-    """A few samples are this many times longer than the median."""
+    """Length of long samples as a multiple of the median."""
     groups: int = 4
     report: str = "trainer-report.json"
     give_up_s: float = 120.0
 
 
 class EmulatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All stand-ins of one platform."""
+    """Settings of all emulated services."""
 
     seed: int
     object_api: ObjectApiSettings
