--- a/stileloom/emulator/demo.py
+++ b/stileloom/emulator/demo.py
@@ -46,7 +46,7 @@
 
 
 class LatencyReport(msgspec.Struct):
-    """Milliseconds from load_task a lookup to its complete response."""
+    """Milliseconds from sending a lookup to its complete response."""
 
     p50: float
     p99: float
@@ -126,13 +126,13 @@
         await self._wait_serving()
 
     async def _apply_objects(self) -> None:
-        caller = HttpCaller([_http(node) for node in self._files.nodes])
+        caller = HttpCaller([_http_address(node) for node in self._files.nodes])
         for manifest in load_manifests(Path(self._files.objects_file)):
             path = f"/v1/objects/{manifest.kind.value}/{manifest.name}"
             await caller.call("PUT", path, manifest.spec, {"If-Match": "0"})
 
     async def _wait_ready(self, node: NodeAddress) -> None:
-        caller = HttpCaller([_http(node)])
+        caller = HttpCaller([_http_address(node)])
         deadline = steady_time() + RUN_TIMEOUT_S / 2
         while True:
             try:
@@ -157,11 +157,11 @@
         raise StileloomError(ErrorKind.NO_SAMPLER, "not every sampler is serving")
 
     async def _status(self, node: NodeAddress) -> Status:
-        response = await HttpCaller([_http(node)]).call("GET", "/v1/status")
+        response = await HttpCaller([_http_address(node)]).call("GET", "/v1/status")
         return msgspec.json.decode(response.body, type=Status)
 
     def _make_load(self) -> LookupLoad:
-        gateways = [_http(node) for node in self._files.nodes]
+        gateways = [_http_address(node) for node in self._files.nodes]
         return LookupLoad(gateways, self._deployment.lookups, self._deployment.engine, self._seed)
 
     async def _watch_trainer(self, load: LookupLoad, started_at: float) -> TrainerReport:
@@ -196,7 +196,7 @@
         node = next(node for node in self._files.nodes if node.node_id == leader)
         self._killed = node
         self._processes.send(node.node_id, signal.SIGKILL)
-        load.remove_gateway(_http(node))
+        load.remove_gateway(_http_address(node))
 
     async def _drain_node(self, load: LookupLoad) -> None:
         """Drains a node without a ledger in another zone, so that the ledger keeps its majority."""
@@ -206,7 +206,7 @@
         )
         self._drained = node
         self._processes.send(node.node_id, signal.SIGTERM)
-        load.remove_gateway(_http(node))
+        load.remove_gateway(_http_address(node))
 
     def _report(self, trainer: TrainerReport, load: LookupLoad, duration_s: float) -> DemoReport:
         audit = trainer.audit
@@ -239,7 +239,7 @@
 
 
 def staleness_report(ages: list[int], bound: int) -> StalenessReport:
-    """Returns nearest-percentile percentiles of the ages."""
+    """Returns the median, 99th percentile and maximum of the ages."""
     ordered = sorted(ages) or [0]
 
     def percentile(fraction: float) -> int:
@@ -263,5 +263,5 @@
     return [text for text, failed in checks.items() if failed]
 
 
-def _http(node: NodeAddress) -> str:
+def _http_address(node: NodeAddress) -> str:
     return f"127.0.0.1:{node.http_port}"
--- a/stileloom/emulator/engine_model.py
+++ b/stileloom/emulator/engine_model.py
@@ -319,7 +319,7 @@
         self._draining = True
 
     def crash(self, now: float) -> None:
-        """Loses all requests and caches; the weight version is unknown afterwards."""
+        """Loses queued and running requests and caches; the weight version becomes unknown."""
         self.advance(now)
         self._abort_all()
         self._loading = None
--- a/stileloom/emulator/engine_server.py
+++ b/stileloom/emulator/engine_server.py
@@ -83,7 +83,7 @@
         model = self.service.model
         refusal = model.submit(steady_time(), request)
         if refusal is not None:
-            self.answer(refusal, 409)
+            self.finish_json(refusal, 409)
             return
         self.set_header("Content-Type", "text/event-stream")
         try:
@@ -120,7 +120,7 @@
         """Cancels a generation by id and reports whether it had started."""
         request_id = msgspec.json.decode(self.request.body, type=dict[str, str])["request_id"]
         state = self.service.model.cancel(steady_time(), request_id)
-        self.answer(CancelReply(state))
+        self.finish_json(CancelReply(state))
 
 
 class LoadHandler(EngineHandler):
@@ -128,7 +128,7 @@
 
     def get(self) -> None:
         """Returns the load report."""
-        self.answer(self.service.report())
+        self.finish_json(self.service.report())
 
 
 class OrderHandler(EngineHandler):
@@ -139,9 +139,9 @@
         try:
             self.service.order(msgspec.json.decode(self.request.body, type=EngineOrder))
         except PermissionError as error:
-            self.answer({"error": str(error)}, 409)
+            self.finish_json({"error": str(error)}, 409)
             return
-        self.answer({}, 202)
+        self.finish_json({}, 202)
 
 
 class PeerWeightsHandler(EngineHandler):
@@ -151,10 +151,10 @@
         """Responds after the duration of the transfer; no bytes are sent."""
         engine = self.service.model
         if (engine.model, engine.version) != (model, int(version)):
-            self.answer({"error": "model version is not loaded"}, 404)
+            self.finish_json({"error": "model version is not loaded"}, 404)
             return
         await asyncio.sleep(engine.parameters.weight_bytes / engine.parameters.peer_bytes_per_s)
-        self.answer({})
+        self.finish_json({})
 
 
 def engine_application(service: EngineService) -> Application:
--- a/stileloom/emulator/http_sampler.py
+++ b/stileloom/emulator/http_sampler.py
@@ -124,11 +124,11 @@
         await self._server.close_all_connections()
 
     def _serve(self, request: HTTPServerRequest) -> None:
-        task = asyncio.get_running_loop().create_task(self._answer(request))
+        task = asyncio.get_running_loop().create_task(self._handle(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, request: HTTPServerRequest) -> None:
+    async def _handle(self, request: HTTPServerRequest) -> None:
         names = self._names
         expected = request.headers.get(names.expect_sampler, self.sampler_id)
         if expected != self.sampler_id:
@@ -181,9 +181,9 @@
         elif "model" in request.headers:
             await self._stream(request, headers, request_id, after_event or 0)
         else:
-            await self._work(request, headers)
+            await self._run_lookup(request, headers)
 
-    async def _work(self, request: HTTPServerRequest, headers: dict[str, str]) -> None:
+    async def _run_lookup(self, request: HTTPServerRequest, headers: dict[str, str]) -> None:
         """Runs a lookup or a reward call and counts it in the gauge."""
         self.gauge.running += 1
         self.gauge.most_running = max(self.gauge.most_running, self.gauge.running)
--- a/stileloom/emulator/json_handler.py
+++ b/stileloom/emulator/json_handler.py
@@ -9,7 +9,7 @@
 class JsonHandler(RequestHandler):
     """Request handler that responds with JSON."""
 
-    def answer(self, value: object, status: int = 200) -> None:
+    def finish_json(self, value: object, status: int = 200) -> None:
         """Finishes the response with a JSON document."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
--- a/stileloom/emulator/ledger_bench.py
+++ b/stileloom/emulator/ledger_bench.py
@@ -31,7 +31,7 @@
 from stileloom.node import NodeCore
 
 NODES = 3
-ROUND = "bench"
+ROUND_NAME = "bench"
 CONCURRENCY = 64
 SAMPLE_TOKENS = 1000
 PROMPTS_PER_BATCH = 1024
@@ -144,7 +144,7 @@
 
 
 async def _commit_samples(leader: Shell, seconds: float) -> tuple[list[float], int]:
-    await leader.command(RegisterRound(ROUND, 2, PROMPTS_PER_BATCH, 1, 1))
+    await leader.command(RegisterRound(ROUND_NAME, 2, PROMPTS_PER_BATCH, 1, 1))
     times: list[float] = []
     next_slot = 0
     submitted = 0
@@ -164,15 +164,15 @@
                     Prompt(f"p{number}", "", SAMPLE_TOKENS)
                     for number in range(first, first + PROMPTS_PER_BATCH)
                 ]
-                await leader.command(SubmitPrompts(ROUND, f"batch-{first}", prompts))
+                await leader.command(SubmitPrompts(ROUND_NAME, f"batch-{first}", prompts))
             sample = Sample(slot, "1.1", f"p{slot}", tokens, [Segment(1, 0, SAMPLE_TOKENS)])
             started_at = steady_time()
-            await leader.command(CommitSample(ROUND, sample))
+            await leader.command(CommitSample(ROUND_NAME, sample))
             times.append(steady_time() - started_at)
             if slot % PROMPTS_PER_BATCH == PROMPTS_PER_BATCH // 2:
                 # Acknowledge samples as a trainer would, so that the state does not grow.
-                await leader.command(HandOver(ROUND, slot - CONCURRENCY))
-                await leader.command(AcknowledgeDeliveries(ROUND, slot - CONCURRENCY))
+                await leader.command(HandOver(ROUND_NAME, slot - CONCURRENCY))
+                await leader.command(AcknowledgeDeliveries(ROUND_NAME, slot - CONCURRENCY))
 
     await asyncio.gather(*[commit() for _ in range(CONCURRENCY)])
     return times, leader.network.traffic.sent_bytes - sent_before
--- a/stileloom/emulator/object_api_server.py
+++ b/stileloom/emulator/object_api_server.py
@@ -49,7 +49,7 @@
     def get(self) -> None:
         """Returns all objects and the current revision."""
         model = self.state.model
-        self.answer({"revision": model.revision, "objects": model.list()})
+        self.finish_json({"revision": model.revision, "objects": model.list()})
 
 
 class WatchHandler(ObjectApiHandler):
@@ -66,7 +66,7 @@
                 self.finish()
                 return
             await asyncio.sleep(WATCH_POLL_S)
-        self.answer({"revision": model.revision, "objects": model.list()})
+        self.finish_json({"revision": model.revision, "objects": model.list()})
 
 
 class ObjectHandler(ObjectApiHandler):
@@ -76,9 +76,9 @@
         """Returns an object, or 404."""
         stored = self.state.model.get(kind, name)
         if stored is None:
-            self.answer({"error": "no such object"}, 404)
+            self.finish_json({"error": "no such object"}, 404)
         else:
-            self.answer(stored)
+            self.finish_json(stored)
 
     def put(self, kind: str, name: str) -> None:
         """Writes an object with compare-and-swap."""
@@ -96,14 +96,14 @@
                 kind, name, int(expected) if expected is not None else None, change_id, spec
             )
         except CasConflictError as error:
-            self.answer({"error": str(error)}, 409)
+            self.finish_json({"error": str(error)}, 409)
             return
         if self.state.rng.random() < self.state.lost_answer_probability:
             self.set_status(503)
             self.finish()
             return
         self.set_header("X-Revision", str(revision))
-        self.answer({"revision": revision})
+        self.finish_json({"revision": revision})
 
 
 class FaultHandler(JsonHandler):
@@ -122,7 +122,7 @@
         self.state.lost_answer_probability = body.get(
             "lost_answer_probability", self.state.lost_answer_probability
         )
-        self.answer({})
+        self.finish_json({})
 
 
 def object_api_application(settings: EmulatorSettings) -> Application:
--- a/stileloom/emulator/platform_servers.py
+++ b/stileloom/emulator/platform_servers.py
@@ -50,12 +50,12 @@
 
     def get(self) -> None:
         """Returns the visible machines."""
-        self.answer(self.state.visible_machines())
+        self.finish_json(self.state.visible_machines())
 
     def post(self, sampler_id: str, state: str) -> None:
         """Changes the state of a machine."""
         self.state.change(sampler_id, MachineState(state))
-        self.answer({})
+        self.finish_json({})
 
 
 def machine_list_application(settings: EmulatorSettings) -> Application:
@@ -85,13 +85,13 @@
         )
         now = steady_time()
         await asyncio.sleep(self.limit.finished_at(now, size) - now)
-        self.answer({"size_bytes": size})
+        self.finish_json({"size_bytes": size})
 
     def put(self, model: str, version: str) -> None:
         """Records the size of a stored version."""
         body = msgspec.json.decode(self.request.body, type=dict[str, int])
         self.stored_sizes[(model, int(version))] = body["size_bytes"]
-        self.answer({})
+        self.finish_json({})
 
 
 def weight_store_application(settings: EmulatorSettings) -> Application:
--- a/stileloom/emulator/scale.py
+++ b/stileloom/emulator/scale.py
@@ -58,7 +58,8 @@
     leader_cpu_fraction: float
     leader_memory_mb: float
     joined_s: float
-    """Seconds from the start of the last process until every node knows all others."""
+    """Seconds until every node knows all others, from `PROCESS_START_INTERVAL_S` after the start of
+    the last process."""
     in_force_s: float
     """Seconds from storing a change until it is in force in all zones."""
 
--- a/tests/object_api.py
+++ b/tests/object_api.py
@@ -1,4 +1,4 @@
-"""The stand-in object API in this event loop, on a port that the kernel chooses."""
+"""Runs the emulated object API in the current event loop, on a port selected by the kernel."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @contextlib.contextmanager
 def object_api() -> Iterator[str]:
-    """Serves the object API; its address."""
+    """Serves the object API and yields its address."""
     application = object_api_application(
         EmulatorSettings(
             seed=1,
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,8 +1,8 @@
-"""Ports for programs that are told theirs: chosen by the kernel and held until the process ends.
+"""Reserves free ports for tested processes until the test process exits.
 
-A port that is given back at once may go to any other socket of the machine before the program
-listens, or while it is down. So a socket stays bound to it, without listening; a listener that
-sets SO_REUSEADDR, as those of asyncio and tornado do, may still bind it.
+A released port could be assigned to another socket before the tested process listens, or while it
+is down. A non-listening socket therefore stays bound to the port. Listeners that set SO_REUSEADDR,
+as those of asyncio and tornado do, can still bind it.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 import socket
 
 LOOPBACK = "127.0.0.1"
-TRIES = 50
+MAX_ATTEMPTS = 50
 
-_held: list[socket.socket] = []
+_reserved: list[socket.socket] = []
 
 
 def free_port(*hosts: str) -> int:
-    """A port that is free on the loopback address and on `hosts`. Raises `OSError`."""
-    for _ in range(TRIES):
-        with contextlib.ExitStack() as taken:
+    """Reserves a port that is free on the loopback address and on `hosts`. Raises `OSError`."""
+    for _ in range(MAX_ATTEMPTS):
+        with contextlib.ExitStack() as stack:
             port = 0
             try:
                 for host in (LOOPBACK, *hosts):
-                    port = _bind(taken, host, port)
+                    port = _bind(stack, host, port)
             except OSError:
-                # Free on one address and taken on another: look on.
+                # The port is in use on one of the addresses: try another one.
                 continue
-            taken.pop_all()
+            stack.pop_all()
             return port
-    raise OSError("no free port")
+    raise OSError(f"no port is free on {(LOOPBACK, *hosts)} after {MAX_ATTEMPTS} attempts")
 
 
-def _bind(taken: contextlib.ExitStack, host: str, port: int) -> int:
-    holder = taken.enter_context(socket.socket())
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind((host, port))
-    _held.append(holder)
-    return int(holder.getsockname()[1])
+def _bind(stack: contextlib.ExitStack, host: str, port: int) -> int:
+    bound_socket = stack.enter_context(socket.socket())
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound_socket.bind((host, port))
+    _reserved.append(bound_socket)
+    return int(bound_socket.getsockname()[1])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,7 +1,6 @@
-"""Whole processes over loopback: kill -9, SIGSTOP past a lease, SIGTERM, a platform that is down.
+"""System tests with real processes: SIGKILL, SIGSTOP past a lease, SIGTERM, object API outage.
 
-Nothing here judges times: each wait ends when its condition holds, or fails the test after a
-bound that is far above what is usual.
+Tests wait for conditions, with a generous timeout; they do not check timing.
 """
 
 from __future__ import annotations
@@ -37,29 +36,29 @@
 
 
 class SystemTest(testtools.TestCase):
-    """A small deployment as processes, for each test anew."""
+    """Runs a small deployment as separate processes for each test."""
 
     def setUp(self) -> None:
         super().setUp()
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         folder = EXAMPLES / "corrib"
-        self.deployment = self.small(load_deployment(folder))
+        self.deployment = self.reduced(load_deployment(folder))
         self.files: RunFiles = write_run_files(
             self.deployment, folder / self.deployment.objects, Path(scratch.name), 1, "default"
         )
         self.processes = Processes(self.files)
         self.addCleanup(self.processes.stop_all)
 
-    def small(self, deployment: Deployment) -> Deployment:
-        """One node in each zone, and short steps."""
+    def reduced(self, deployment: Deployment) -> Deployment:
+        """Reduces a deployment to one node per zone and short training steps."""
         trainer = msgspec.structs.replace(
             deployment.trainer, steps=4, samples_per_step=12, train_s=0.5, long_fraction=0.0
         )
         return msgspec.structs.replace(deployment, nodes_per_zone=1, trainer=trainer)
 
     async def start(self) -> None:
-        """Platform, nodes, objects; until every node is ready."""
+        """Starts the platform and nodes, stores the objects and waits until all samplers serve."""
         self.processes.start_platform()
         await self.processes.wait_listening(self.files.object_api_port)
         for node in self.files.nodes:
@@ -72,21 +71,21 @@
                 manifest.spec["samples_per_step"] = self.deployment.trainer.samples_per_step
             path = f"/v1/objects/{manifest.kind.value}/{manifest.name}"
             await caller.call("PUT", path, manifest.spec, {"If-Match": "0"})
-        await self.until(self.all_heard, "every sampler is heard of")
+        await self.wait_until(self.all_serving, "every sampler is serving")
 
     def address(self, node: NodeAddress) -> str:
-        """HTTP address of a node."""
+        """Returns the HTTP address of a node."""
         return f"127.0.0.1:{node.http_port}"
 
-    async def until(self, condition: Callable[[], Awaitable[bool]], what: str) -> None:
-        """Waits for a condition."""
-        give_up_at = steady_time() + WAIT_S
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], what: str) -> None:
+        """Waits until a condition holds."""
+        deadline = steady_time() + WAIT_S
         while not await condition():
-            self.assertLess(steady_time(), give_up_at, f"waited too long: {what}")
+            self.assertLess(steady_time(), deadline, f"timed out waiting for: {what}")
             await asyncio.sleep(0.1)
 
     async def status(self, node: NodeAddress) -> Status | None:
-        """What a node says; None where it does not answer."""
+        """Returns the status of a node, or None if it does not respond."""
         try:
             response = await HttpCaller([self.address(node)]).call("GET", "/v1/status")
         except StileloomError:
@@ -94,7 +93,7 @@
         return msgspec.json.decode(response.body, type=Status)
 
     async def leader(self) -> NodeAddress | None:
-        """The node that leads, as any node that answers knows it."""
+        """Returns the leader as reported by the first node that responds with one, or None."""
         for node in self.files.nodes:
             status = await self.status(node) if self.processes.is_running(node.node_id) else None
             if status is not None and status.leader is not None:
@@ -102,32 +101,32 @@
                 return next(other for other in self.files.nodes if other.node_id == name)
         return None
 
-    async def all_heard(self) -> bool:
+    async def all_serving(self) -> bool:
         status = await self.status(self.files.nodes[0])
         if status is None or status.leader is None or not status.ready:
             return False
         states = [sampler.state for sampler in status.leader.samplers]
         return len(states) == len(self.files.samplers) and set(states) == {"serving"}
 
-    def published(self) -> int:
-        """Versions that the trainer has published."""
+    def published_versions(self) -> int:
+        """Returns the number of versions that the trainer has published."""
         path = Path(f"{self.files.trainer_report}.progress")
         if not path.exists():
             return 0
         return msgspec.json.decode(path.read_bytes(), type=TrainerProgress).versions_published
 
     async def trainer_report(self) -> TrainerReport:
-        """The trainer's report, at the end of its round."""
+        """Waits for the end of the round and returns the trainer's report."""
         path = Path(self.files.trainer_report)
 
         async def ended() -> bool:
             return path.exists()
 
-        await self.until(ended, "the round is done")
+        await self.wait_until(ended, "the round is done")
         return msgspec.json.decode(path.read_bytes(), type=TrainerReport)
 
-    def assert_whole(self, report: TrainerReport) -> None:
-        """Every sample once, young enough, with its own versions."""
+    def assert_all_delivered(self, report: TrainerReport) -> None:
+        """Checks that each sample was delivered once, intact and within the staleness bound."""
         audit = report.audit
         self.assertEqual(
             (report.expected, 0, 0, 0, 0, 0),
@@ -141,25 +140,25 @@
             ),
         )
 
-    async def first_version(self) -> None:
-        """Until the trainer has published one version."""
+    async def wait_first_version(self) -> None:
+        """Waits until the trainer has published one version."""
 
         async def published() -> bool:
-            return self.published() >= 1
+            return self.published_versions() >= 1
 
-        await self.until(published, "a version is published")
+        await self.wait_until(published, "a version is published")
 
     def test_the_controller_is_killed_in_the_middle_of_a_round(self) -> None:
         async def run() -> None:
             await self.start()
             self.processes.start_trainer(self.deployment.trainer.staleness_bound)
-            await self.first_version()
+            await self.wait_first_version()
             leader = await self.leader()
             assert leader is not None
             self.processes.send(leader.node_id, signal.SIGKILL)
             await self.processes.wait_ended(leader.node_id)
             self.processes.start_node(leader)
-            self.assert_whole(await self.trainer_report())
+            self.assert_all_delivered(await self.trainer_report())
 
         asyncio.run(run())
 
@@ -167,13 +166,13 @@
         async def run() -> None:
             await self.start()
             self.processes.start_trainer(self.deployment.trainer.staleness_bound)
-            await self.first_version()
+            await self.wait_first_version()
             paused = await self.leader()
             assert paused is not None
             others = [node for node in self.files.nodes if node != paused]
             self.processes.send(paused.node_id, signal.SIGSTOP)
 
-            async def another_leads() -> bool:
+            async def leader_changed() -> bool:
                 status = await self.status(others[0])
                 return (
                     status is not None
@@ -181,9 +180,9 @@
                     and status.leader.leader != paused.node_id
                 )
 
-            await self.until(another_leads, "another node leads")
+            await self.wait_until(leader_changed, "another node leads")
             self.processes.send(paused.node_id, signal.SIGCONT)
-            self.assert_whole(await self.trainer_report())
+            self.assert_all_delivered(await self.trainer_report())
 
         asyncio.run(run())
 
@@ -192,13 +191,13 @@
             await self.start()
             node = self.files.nodes[1]
 
-            async def routes() -> bool:
+            async def has_route() -> bool:
                 caller = HttpCaller([self.address(node)])
                 body = {"service": "viewer-app"}
                 response = await caller.call("POST", "/v1/explain", body)
                 return msgspec.json.decode(response.body, type=Explanation).chosen is not None
 
-            await self.until(routes, "the gateway has heard of a sampler")
+            await self.wait_until(has_route, "the gateway has a route to a sampler")
             client = LookupClient([self.address(node)])
             query = "len:150|a long outline"
             running = asyncio.create_task(client.lookup("viewer-app", query, 150))
@@ -218,6 +217,6 @@
             body = msgspec.json.encode({"down_s": 600.0})
             await AsyncHTTPClient().fetch(HTTPRequest(url, method="POST", body=body))
             self.processes.start_trainer(self.deployment.trainer.staleness_bound)
-            self.assert_whole(await self.trainer_report())
+            self.assert_all_delivered(await self.trainer_report())
 
         asyncio.run(run())
