--- a/stileloom/constants.py
+++ b/stileloom/constants.py
@@ -18,32 +18,32 @@
 REPRESENTATIVES_PER_ZONE = 2
 
 # Ledger (Raft, Ongaro and Ousterhout 2014; leader stickiness as in section 6).
-LEDGER_HEARTBEAT_S = 0.15
+LEDGER_HEARTBEAT_INTERVAL_S = 0.15
 ELECTION_TIMEOUT_MIN_S = 0.8
 ELECTION_TIMEOUT_MAX_S = 1.6
-RESTART_S = 0.8
+RESTART_PERIOD_S = 0.8
 """Period after its start during which a replica uses the restart election timeouts."""
-RESTART_RETRY_S = 0.15
+RESTART_ELECTION_RETRY_INTERVAL_S = 0.15
 """Interval of vote requests by a restarted last leader, since other replicas may start later."""
 RESTART_ELECTION_MIN_S = 1.2
 """Minimum election timeout of other restarted voters, so that the last leader campaigns first."""
 RESTART_ELECTION_MAX_S = 1.8
 LEADER_LEASE_S = 0.7
 """Shorter than the minimum election timeout, so a lease expires before a successor is elected."""
-FOLLOWER_SILENT_S = 1.0
+FOLLOWER_RESPONSE_TIMEOUT_S = 1.0
 """Time without a response after which a follower is sent no entries until it responds again."""
-SNAPSHOT_RETRY_S = 3.0
-VOTER_SILENT_S = 1.5
+SNAPSHOT_RETRY_INTERVAL_S = 3.0
+VOTER_RESPONSE_TIMEOUT_S = 1.5
 """Time without a response after which a voter is replaced by a learner, if one is available."""
-STANDBY_HELLO_S = 1.6
+STANDBY_ANNOUNCE_INTERVAL_S = 1.6
 """Interval at which a standby (a replica outside the voter set) announces itself to the leader."""
-STANDBY_FORGOTTEN_S = 4.0
+STANDBY_EXPIRY_S = 4.0
 """Time after its last announcement at which a standby is dropped."""
-LEADER_HEARD_S = 3.5
+LEADER_CONTACT_TIMEOUT_S = 3.5
 """Time without contact with a leader after which a standby queries every node it knows."""
 APPEND_BATCH_ENTRIES = 64
 SNAPSHOT_AFTER_ENTRIES = 512
-COMMAND_RETRY_S = 0.5
+COMMAND_RETRY_INTERVAL_S = 0.5
 COMMAND_TIMEOUT_S = 8.0
 
 # Configuration.
@@ -54,19 +54,19 @@
 MACHINE_POLL_INTERVAL_S = 1.0
 
 # Samplers.
-LOAD_POLL_S = 0.25
-GATEWAY_REPORT_S = 1.0
+LOAD_POLL_INTERVAL_S = 0.25
+GATEWAY_REPORT_INTERVAL_S = 1.0
 """Interval at which an owner reports a sampler's load to the gateways that route to it."""
-CONTROLLER_REPORT_S = 2.0
+CONTROLLER_REPORT_INTERVAL_S = 2.0
 """Interval at which an owner reports to the controller; state changes are reported immediately."""
 SAMPLER_REPORT_STALE_S = 5.0
 SUBSET_SIZE = 16
-ORDER_RETRY_S = 1.0
-ASSIGNMENT_LOST_S = 5.0
+ORDER_RETRY_INTERVAL_S = 1.0
+ASSIGNMENT_TIMEOUT_S = 5.0
 """Time without a report from its owner after which an assignment is dropped."""
-ASSIGNMENT_LOST_SUSPECT_S = 2.5
+SUSPECT_ASSIGNMENT_TIMEOUT_S = 2.5
 """The same for an owner that is not alive; must exceed the interval of its running reports."""
-CONTROLLER_SETTLE_S = 2.0
+CONTROLLER_DISCOVERY_PERIOD_S = 2.0
 """Time for which a new controller collects running reports before it assigns generations."""
 
 # Requests.
@@ -75,6 +75,6 @@
 RETRY_BUDGET_RATIO = 0.2
 RETRY_BUDGET_MIN_PER_S = 1.0
 EJECTION_FAILURES = 3
-EJECTION_S = 5.0
+EJECTION_DURATION_S = 5.0
 MAX_ATTEMPTS = 3
 DRAIN_TIMEOUT_S = 30.0
--- a/stileloom/ledger/client.py
+++ b/stileloom/ledger/client.py
@@ -73,12 +73,12 @@
     def _send(self, now: float, ticket: int) -> list[Effect]:
         target = self._tracker.ask(now)
         if target is None:
-            self._pending[ticket].retry_at = now + constants.COMMAND_RETRY_S
+            self._pending[ticket].retry_at = now + constants.COMMAND_RETRY_INTERVAL_S
             return []
         return self._send_to(now, ticket, target)
 
     def _send_to(self, now: float, ticket: int, target: str) -> list[Effect]:
         pending = self._pending[ticket]
-        pending.retry_at = now + constants.COMMAND_RETRY_S
+        pending.retry_at = now + constants.COMMAND_RETRY_INTERVAL_S
         pending.sent_to = target
         return [Send(target, CommandForward(ticket, pending.command))]
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -144,7 +144,7 @@
     def hears_leader(self, now: float) -> bool:
         """Whether a known leader has contacted this replica recently."""
         return self.leader is not None and now < (
-            self._last_leader_contact_at + constants.LEADER_HEARD_S
+            self._last_leader_contact_at + constants.LEADER_CONTACT_TIMEOUT_S
         )
 
     def lease_expires_at(self, now: float) -> float:
@@ -162,7 +162,7 @@
         if self.role is ReplicaRole.LEADER:
             effects = self._replicate_to_standbys(now) + self._change_voters(now)
             if now >= self._next_heartbeat_at:
-                self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_S
+                self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_INTERVAL_S
                 effects += self._replicate(now, heartbeat=True)
             return effects
         effects = [] if self.is_voter else self._send_hello(now)
@@ -238,9 +238,9 @@
         After a restart of all nodes the previous leader campaigns first: no other node can hold
         a lease, so it may send orders immediately.
         """
-        if self._previous_leader and now < self._restarted_at + constants.RESTART_S:
+        if self._previous_leader and now < self._restarted_at + constants.RESTART_PERIOD_S:
             if self._previous_leader == self.me.node_id:
-                return constants.RESTART_RETRY_S
+                return constants.RESTART_ELECTION_RETRY_INTERVAL_S
             return self._rng.uniform(
                 constants.RESTART_ELECTION_MIN_S, constants.RESTART_ELECTION_MAX_S
             )
@@ -338,7 +338,7 @@
         }
         start = Entry(self._log.last_index + 1, self.epoch, StartEpoch(self.me.node_id))
         effects = self._append([start])
-        self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_S
+        self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_INTERVAL_S
         effects.append(Emit(LogEvent.LEADER_ELECTED, {"epoch": self.epoch}))
         return effects + self._replicate(now, heartbeat=True)
 
@@ -364,7 +364,7 @@
     def _replicate(self, now: float, heartbeat: bool) -> list[Effect]:
         effects: list[Effect] = []
         for follower, progress in self._progress.items():
-            unresponsive = now >= progress.last_contact_at + constants.FOLLOWER_SILENT_S
+            unresponsive = now >= progress.last_contact_at + constants.FOLLOWER_RESPONSE_TIMEOUT_S
             if unresponsive and progress.state is FollowerState.REPLICATE:
                 # Entries for an unresponsive follower would only accumulate in send buffers.
                 progress.state = FollowerState.PROBE
@@ -382,7 +382,7 @@
 
     def _send_probe(self, now: float, follower: Voter, progress: FollowerProgress) -> list[Effect]:
         """Sends an empty request, or a snapshot if the log is compacted past that index."""
-        snapshot_due = now >= progress.snapshot_sent_at + constants.SNAPSHOT_RETRY_S
+        snapshot_due = now >= progress.snapshot_sent_at + constants.SNAPSHOT_RETRY_INTERVAL_S
         if progress.state is FollowerState.SNAPSHOT and not snapshot_due:
             return self._send_request(now, follower, self._log.base_index, [])
         previous = progress.next_index - 1
@@ -553,7 +553,7 @@
     def _send_hello(self, now: float) -> list[Effect]:
         if now < self._next_hello_at:
             return []
-        self._next_hello_at = now + constants.STANDBY_HELLO_S
+        self._next_hello_at = now + constants.STANDBY_ANNOUNCE_INTERVAL_S
         targets = {voter.node_id for voter in self.voters}
         if self.leader is not None and self.hears_leader(now):
             targets = {self.leader}
@@ -561,7 +561,7 @@
         return [Send(target, hello) for target in sorted(targets - {self.me.node_id})]
 
     def _voter_health(self, now: float) -> VoterHealth:
-        oldest_contact_at = now - constants.VOTER_SILENT_S
+        oldest_contact_at = now - constants.VOTER_RESPONSE_TIMEOUT_S
         unresponsive = {
             voter.node_id
             for voter, progress in self._progress.items()
--- a/stileloom/ledger/standbys.py
+++ b/stileloom/ledger/standbys.py
@@ -49,11 +49,11 @@
         self._last_hello_at[standby] = now
 
     def recently_seen(self, now: float) -> list[Voter]:
-        """All standbys that sent a hello within `STANDBY_FORGOTTEN_S`."""
+        """All standbys that sent a hello within `STANDBY_EXPIRY_S`."""
         return [
             standby
             for standby, last_hello_at in self._last_hello_at.items()
-            if now < last_hello_at + constants.STANDBY_FORGOTTEN_S
+            if now < last_hello_at + constants.STANDBY_EXPIRY_S
         ]
 
     def select_replacements(
--- a/stileloom/rollout/assignments.py
+++ b/stileloom/rollout/assignments.py
@@ -149,9 +149,9 @@
         """Drops assignments that their owner has not reported within the timeout."""
         effects: list[Effect] = []
         for assignment in self._all():
-            timeout_s = constants.ASSIGNMENT_LOST_S
+            timeout_s = constants.ASSIGNMENT_TIMEOUT_S
             if not is_working(assignment.owner):
-                timeout_s = constants.ASSIGNMENT_LOST_SUSPECT_S
+                timeout_s = constants.SUSPECT_ASSIGNMENT_TIMEOUT_S
             if now >= assignment.confirmed_at + timeout_s:
                 self._drop(assignment)
                 self.interruptions += 1
--- a/stileloom/rollout/controller.py
+++ b/stileloom/rollout/controller.py
@@ -67,7 +67,7 @@
         self._scheduler = scheduler
         self._swaps = SwapPlanner(epoch, sequence)
         self._roles = SamplerRoles()
-        self._settled_at = now + constants.CONTROLLER_SETTLE_S
+        self._settled_at = now + constants.CONTROLLER_DISCOVERY_PERIOD_S
         self._reported: set[str] = set()
         self._sequence = sequence
         self._backoff_until: dict[str, float] = {}
--- a/stileloom/routing/limits.py
+++ b/stileloom/routing/limits.py
@@ -98,7 +98,7 @@
         factor = min(MAX_EJECTION_FACTOR, 2**health.ejections)
         health.ejections += 1
         health.failures = 0
-        health.ejected_until = now + constants.EJECTION_S * factor
+        health.ejected_until = now + constants.EJECTION_DURATION_S * factor
         return True
 
     def is_ejected(self, now: float, sampler_id: str) -> bool:
--- a/stileloom/samplers/owner.py
+++ b/stileloom/samplers/owner.py
@@ -118,13 +118,13 @@
         effects: list[Effect] = []
         for sampler_id, owned in self._owned.items():
             if now >= owned.next_poll_at:
-                owned.next_poll_at = now + constants.LOAD_POLL_S
+                owned.next_poll_at = now + constants.LOAD_POLL_INTERVAL_S
                 effects.append(QueryLoad(sampler_id))
         if now >= self._next_gateway_report_at:
-            self._next_gateway_report_at = now + constants.GATEWAY_REPORT_S
+            self._next_gateway_report_at = now + constants.GATEWAY_REPORT_INTERVAL_S
             effects += self._report_to_gateways(now, gateways)
         if leader is not None and now >= self._next_controller_report_at:
-            self._next_controller_report_at = now + constants.CONTROLLER_REPORT_S
+            self._next_controller_report_at = now + constants.CONTROLLER_REPORT_INTERVAL_S
             effects += self._report(now, {leader: set(self._owned)})
         new_leader = leader is not None and leader != self._controller
         if leader is not None and (now >= self._next_running_report_at or new_leader):
--- a/stileloom/weights/swap.py
+++ b/stileloom/weights/swap.py
@@ -105,12 +105,13 @@
             acknowledged = load.last_order >= sent_order.token
             elapsed_s = now - sent_order.sent_at
             if not acknowledged:
-                return elapsed_s >= constants.ORDER_RETRY_S
+                return elapsed_s >= constants.ORDER_RETRY_INTERVAL_S
             if load.state is EngineState.LOADING:
                 return elapsed_s >= ORDER_LOST_TIMEOUT_S
             if load.state is EngineState.SERVING and elapsed_s < ORDER_LOST_TIMEOUT_S:
                 return (
-                    load.weight_version != target.version and elapsed_s >= constants.ORDER_RETRY_S
+                    load.weight_version != target.version
+                    and elapsed_s >= constants.ORDER_RETRY_INTERVAL_S
                 )
         role_only = (load.model, load.weight_version) == (target.model, target.version)
         if load.state is EngineState.UNKNOWN_VERSION or role_only:
