--- a/stileloom/emulator/controller_bench.py
+++ b/stileloom/emulator/controller_bench.py
@@ -124,7 +124,7 @@
         policies=PolicyBook({}),
         table=table,
         owner_of=lambda sampler_id: "node",
-        is_working=lambda node_id: True,
+        is_healthy=lambda node_id: True,
         wall_time_s=0.0,
         admits_rollouts=True,
     )
--- a/stileloom/http/operations.py
+++ b/stileloom/http/operations.py
@@ -82,7 +82,7 @@
         for _ in range(STATUS_TRIES):
             ticket = shell.waiters.next_ticket()
             future = shell.waiters.expect_status(ticket)
-            shell.run(shell.core.ask_status(shell.now(), ticket))
+            shell.run(shell.core.request_status(shell.now(), ticket))
             try:
                 async with asyncio.timeout(STATUS_WAIT_S / STATUS_TRIES):
                     return await future
--- a/stileloom/http/rounds.py
+++ b/stileloom/http/rounds.py
@@ -157,7 +157,7 @@
         future = shell.waiters.expect_delivery(ticket)
         give_up_at = shell.now() + wait_s
         while True:
-            shell.run(shell.core.read_deliveries(shell.now(), request))
+            shell.run(shell.core.request_deliveries(shell.now(), request))
             left_s = max(0.05, give_up_at - shell.now())
             try:
                 async with asyncio.timeout(min(REPEAT_READ_S, left_s)):
--- a/stileloom/ledger/wire.py
+++ b/stileloom/ledger/wire.py
@@ -78,6 +78,6 @@
         self._addresses.record_sender(sender.node_id, (sender.host, sender.port))
         return sender.node_id, decoded.message
 
-    def fits_datagram(self, message: object) -> bool:
+    def uses_datagram(self, message: object) -> bool:
         """Always False: messages go over TCP, whose ordering avoids retransmission of entries."""
         return False
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -55,7 +55,7 @@
 )
 from stileloom.routing import Gateway, GatewayView, LookupRequest
 from stileloom.routing.messages import ClaimWanted, Explanation, ReleaseWanted
-from stileloom.samplers import CommitWanted, SamplerOwner
+from stileloom.samplers import CommitSampleRequest, SamplerOwner
 from stileloom.samplers.messages import (
     GenerationInterrupted,
     GenerationKey,
@@ -68,13 +68,13 @@
 
 
 class DeliveryFinished(msgspec.Struct, frozen=True):
-    """Response to `read_deliveries`."""
+    """Response to `request_deliveries`."""
 
     answer: DeliveryAnswer
 
 
 class StatusFinished(msgspec.Struct, frozen=True):
-    """Response to `ask_status`."""
+    """Response to `request_status`."""
 
     status: LeaderStatus
 
@@ -115,7 +115,7 @@
         now: float,
         replica: LedgerReplica | None = None,
         scheduler: SchedulerKind = SchedulerKind.DEFAULT,
-        without: frozenset[Mechanism] = frozenset(),
+        disabled_mechanisms: frozenset[Mechanism] = frozenset(),
     ) -> None:
         """`without` disables mechanisms of the default scheduler, for benchmarks."""
         self.node_id = local_member.node_id
@@ -135,7 +135,7 @@
         self.draining = False
         self.wall_time_s = 0.0
         self._scheduler_kind = scheduler
-        self._without = without
+        self._disabled_mechanisms = disabled_mechanisms
         # Shared by successive controllers: a leader lease can expire and be renewed in one epoch.
         self._controller_sequence = itertools.count(1)
         self._internal_tickets: dict[int, _CommitTicket | _ClaimTicket | None] = {}
@@ -280,7 +280,7 @@
         assert isinstance(message, DeliveryRequest)
         if self.controller is None or self.replica is None or not self._may_act(now):
             return [Send(sender, DeliveryAnswer(message.ticket, None, not_leader=True))]
-        return self.controller.desk.request(now, sender, message, self.replica.state)
+        return self.controller.pending_reads.add_read(now, sender, message, self.replica.state)
 
     def _on_status_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, StatusRequest)
@@ -320,9 +320,9 @@
 
     def _tick_ownership(self, now: float) -> None:
         changed = self.ownership.refresh(now, self.configuration.store.configuration)
-        self.owner.set_owned(now, self.ownership.owned)
+        self.owner.set_owned_samplers(now, self.ownership.owned)
         if changed:
-            self.owner.report_soon()
+            self.owner.schedule_report()
 
     def _tick_controller(self, now: float) -> list[Effect]:
         if not self._may_act(now) or self.replica is None:
@@ -339,7 +339,7 @@
         epoch = self.replica.epoch
         if self.controller is not None and self.controller.epoch == epoch:
             return []
-        scheduler = make_scheduler(self._scheduler_kind, self._without)
+        scheduler = make_scheduler(self._scheduler_kind, self._disabled_mechanisms)
         self.controller = Controller(epoch, scheduler, now, self._controller_sequence)
         self.authority = ConfigurationAuthority(epoch, now)
         # Announces the new leader: owners then report their running generations to it.
@@ -367,7 +367,7 @@
             policies=self.policies,
             table=self.table,
             owner_of=self.ownership.owner_of,
-            is_working=self._is_healthy,
+            is_healthy=self._is_healthy,
             wall_time_s=self.wall_time_s,
             admits_rollouts=self.configuration.store.lease_valid(now),
         )
@@ -461,14 +461,14 @@
         ticket, effects = self.client.submit(now, command)
         return ticket, self._process_effects(now, effects)
 
-    def read_deliveries(self, now: float, request: DeliveryRequest) -> list[Effect]:
+    def request_deliveries(self, now: float, request: DeliveryRequest) -> list[Effect]:
         """Requests deliveries from the leader.
 
         The caller must retry if no `DeliveryFinished` effect follows.
         """
         return self._ask_leader(now, request)
 
-    def ask_status(self, now: float, ticket: int) -> list[Effect]:
+    def request_status(self, now: float, ticket: int) -> list[Effect]:
         """Requests the leader's status; a `StatusFinished` effect may follow."""
         return self._ask_leader(now, StatusRequest(ticket))
 
@@ -530,7 +530,7 @@
             return self._propose(now, effect.command, ticket)
         if isinstance(effect, ProposeHandOver):
             return self._propose(now, effect.command, effect.ticket)
-        if isinstance(effect, CommitWanted):
+        if isinstance(effect, CommitSampleRequest):
             return self._submit_internal(now, effect.command, _CommitTicket(effect.key))
         if isinstance(effect, ClaimWanted):
             return self._submit_internal(
@@ -587,7 +587,7 @@
         if isinstance(ticket, _ForwardTicket):
             return [Send(ticket.sender, CommandAnswer(ticket.ticket, result, ""))]
         if isinstance(ticket, HandOverTicket) and self.controller is not None:
-            return self.controller.desk.handed_over(ticket, result)
+            return self.controller.pending_reads.on_hand_over_result(ticket, result)
         if isinstance(ticket, RaiseFloor) and result is not None:
             return self._on_floor_raised(now)
         return []
--- a/stileloom/node/dispatch.py
+++ b/stileloom/node/dispatch.py
@@ -124,6 +124,6 @@
         envelope = DECODER.decode(frame)
         return envelope.sender, envelope.message
 
-    def fits_datagram(self, message: object) -> bool:
+    def uses_datagram(self, message: object) -> bool:
         """Returns whether the message is sent over UDP."""
         return isinstance(message, DATAGRAM_MESSAGES)
--- a/stileloom/node/status.py
+++ b/stileloom/node/status.py
@@ -39,7 +39,7 @@
         version=state.version,
         staleness_bound=state.staleness_bound,
         open_slots=len(state.open_slots),
-        under_way=controller.under_way(state.name),
+        under_way=controller.running_count(state.name),
         ready=len(state.ready),
         handed_over=state.next_offset,
         acknowledged=state.acknowledged,
--- a/stileloom/rollout/assignments.py
+++ b/stileloom/rollout/assignments.py
@@ -145,12 +145,12 @@
                 if round_state is None or slot not in round_state.open_slots:
                     del partials[slot]
 
-    def drop_lost(self, now: float, is_working: Callable[[str], bool]) -> list[Effect]:
+    def drop_lost(self, now: float, is_healthy: Callable[[str], bool]) -> list[Effect]:
         """Drops assignments that their owner has not reported within the timeout."""
         effects: list[Effect] = []
         for assignment in self._all():
             timeout_s = constants.ASSIGNMENT_TIMEOUT_S
-            if not is_working(assignment.owner):
+            if not is_healthy(assignment.owner):
                 timeout_s = constants.SUSPECT_ASSIGNMENT_TIMEOUT_S
             if now >= assignment.confirmed_at + timeout_s:
                 self._drop(assignment)
--- a/stileloom/rollout/controller.py
+++ b/stileloom/rollout/controller.py
@@ -62,7 +62,7 @@
         """`sequence` must not repeat a number within an epoch."""
         self.epoch = epoch
         self.assignments = AssignmentTable()
-        self.desk = PendingReads()
+        self.pending_reads = PendingReads()
         self.discarded_partial_tokens = 0
         self._scheduler = scheduler
         self._swaps = SwapPlanner(epoch, sequence)
@@ -87,14 +87,14 @@
         if now >= self._next_sweep_at:
             self._next_sweep_at = now + SWEEP_INTERVAL_S
             self.assignments.drop_closed(view.state)
-            effects += self.assignments.drop_lost(now, view.is_working)
+            effects += self.assignments.drop_lost(now, view.is_healthy)
             effects += self._register_rounds(now, view)
         lent: dict[str, str] = {}
         if self._scheduler.shifts_roles:
             lent = self._roles.lent_samplers(now, view)
         effects += self._swap_weights(now, view, lent)
         effects += self._plan_rounds(now, view, lent)
-        return effects + self.desk.tick(now, view.state, self._reserved(view.state))
+        return effects + self.pending_reads.tick(now, view.state, self._reserved(view.state))
 
     def _plan_rounds(self, now: float, view: ControllerView, lent: dict[str, str]) -> list[Effect]:
         """Plans rounds in turn until the budget is used up; the next tick resumes there.
@@ -124,7 +124,7 @@
     def _reserved(self, state: LedgerState) -> dict[str, int]:
         """Returns the places reserved for running generations, by round with pending reads."""
         reserved: dict[str, int] = {}
-        for name in self.desk.waiting_rounds():
+        for name in self.pending_reads.waiting_rounds():
             round_state = state.rounds.get(name)
             if round_state is not None:
                 oldest_allowed = round_state.version - round_state.staleness_bound
@@ -140,7 +140,7 @@
             version=round_state.version,
             next_slot=round_state.next_slot,
             next_offset=round_state.next_offset,
-            wanted_until=self.desk.wanted_until(name),
+            wanted_until=self.pending_reads.wanted_until(name),
             interruptions=self.assignments.interruptions,
             samplers=view.table.changes,
         )
@@ -179,7 +179,7 @@
         owners = {view.owner_of(sampler.sampler_id) for sampler in view.table.views()}
         return owners <= self._reported
 
-    def under_way(self, round_name: str) -> int:
+    def running_count(self, round_name: str) -> int:
         """Returns the number of running generations of a round."""
         return len(self.assignments.for_round(round_name))
 
@@ -279,7 +279,7 @@
         lead.observe_step(now, round_state.next_offset // round_state.samples_per_step)
         self.discarded_partial_tokens += self.assignments.drop_stale_partials(round_state, bound)
         assignments = self.assignments.for_round(name)
-        wanted_until = self.desk.wanted_until(name)
+        wanted_until = self.pending_reads.wanted_until(name)
         pending = self._pending(view, round_state, wanted_until)
         return RoundWork(
             state=round_state,
--- a/stileloom/rollout/delivery.py
+++ b/stileloom/rollout/delivery.py
@@ -25,7 +25,7 @@
 
 
 class ProposeHandOver(msgspec.Struct, frozen=True):
-    """Effect: propose the command and pass its result to `PendingReads.handed_over`."""
+    """Effect: propose the command and pass its result to `PendingReads.on_hand_over_result`."""
 
     ticket: HandOverTicket
     command: HandOver
@@ -44,7 +44,7 @@
         self._reads: dict[tuple[str, str], _PendingRead] = {}
         self._proposed: set[str] = set()
 
-    def request(
+    def add_read(
         self, now: float, reader: str, request: DeliveryRequest, state: LedgerState
     ) -> list[Effect]:
         """Registers a read, replacing an earlier read of the same reader and round."""
@@ -87,7 +87,9 @@
                 effects.append(ProposeHandOver(ticket, HandOver(name, until)))
         return effects
 
-    def handed_over(self, ticket: HandOverTicket, result: CommandResult | None) -> list[Effect]:
+    def on_hand_over_result(
+        self, ticket: HandOverTicket, result: CommandResult | None
+    ) -> list[Effect]:
         """Answers the reads completed by a hand-over; `result` is None if it was lost."""
         self._proposed.discard(ticket.round_name)
         effects: list[Effect] = []
--- a/stileloom/rollout/view.py
+++ b/stileloom/rollout/view.py
@@ -49,7 +49,7 @@
     policies: PolicyBook
     table: SamplerTable
     owner_of: Callable[[str], str | None]
-    is_working: Callable[[str], bool]
+    is_healthy: Callable[[str], bool]
     """Whether a node is neither suspected nor dead."""
     wall_time_s: float
     admits_rollouts: bool
--- a/stileloom/samplers/__init__.py
+++ b/stileloom/samplers/__init__.py
@@ -1,5 +1,5 @@
 """Samplers: ownership, load reports, and the generations that run on them."""
 
-from stileloom.samplers.owner import CommitWanted, SamplerOwner
+from stileloom.samplers.owner import CommitSampleRequest, SamplerOwner
 
-__all__ = ["CommitWanted", "SamplerOwner"]
+__all__ = ["CommitSampleRequest", "SamplerOwner"]
--- a/stileloom/samplers/owner.py
+++ b/stileloom/samplers/owner.py
@@ -36,7 +36,7 @@
 RUNNING_REPORT_S = 2.0
 
 
-class CommitWanted(msgspec.Struct, frozen=True):
+class CommitSampleRequest(msgspec.Struct, frozen=True):
     """Requests a ledger commit; answered by `committed(key, result)`."""
 
     key: GenerationKey
@@ -57,7 +57,7 @@
     return f"{key.round_name}/{key.slot}/{key.attempt}"
 
 
-def _commit_request(generation: _Generation) -> CommitWanted:
+def _commit_request(generation: _Generation) -> CommitSampleRequest:
     """The commit request for a finished generation."""
     key = generation.order.key
     sample = Sample(
@@ -67,7 +67,7 @@
         generation.tokens,
         generation.segments,
     )
-    return CommitWanted(key, CommitSample(key.round_name, sample))
+    return CommitSampleRequest(key, CommitSample(key.round_name, sample))
 
 
 class _OwnedSampler(msgspec.Struct):
@@ -102,11 +102,11 @@
         """Number of generations in progress."""
         return len(self._generations)
 
-    def report_soon(self) -> None:
+    def schedule_report(self) -> None:
         """Reports to gateways at the next tick, since the set of gateways changed."""
         self._next_gateway_report_at = float("-inf")
 
-    def set_owned(self, now: float, sampler_ids: set[str]) -> None:
+    def set_owned_samplers(self, now: float, sampler_ids: set[str]) -> None:
         """Applies the assignment of samplers; generations in progress are completed regardless."""
         for sampler_id in sampler_ids - self._owned.keys():
             self._owned[sampler_id] = _OwnedSampler(owned_since=now)
--- a/stileloom/samplers/table.py
+++ b/stileloom/samplers/table.py
@@ -17,7 +17,7 @@
 
     machine: Machine
     load: LoadReport | None = None
-    heard_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
     leaving: bool = False
     unreachable: bool = False
 
@@ -35,7 +35,7 @@
         version."""
         if self.leaving or self.unreachable or self.load is None:
             return False
-        if now > self.heard_at + constants.SAMPLER_REPORT_STALE_S:
+        if now > self.last_contact_at + constants.SAMPLER_REPORT_STALE_S:
             return False
         return self.load.state is EngineState.SERVING
 
@@ -93,7 +93,7 @@
                 self.changes += 1
             effects += _version_events(view.load, load)
             view.load = load
-            view.heard_at = now
+            view.last_contact_at = now
             view.unreachable = False
             if load.state is EngineState.LEAVING:
                 effects += self.mark_leaving(load.sampler_id)
--- a/stileloom/simulator/bench.py
+++ b/stileloom/simulator/bench.py
@@ -149,7 +149,7 @@
         callers=callers,
         objects=objects,
         scheduler=parameters.scheduler,
-        without=parameters.without,
+        disabled_mechanisms=parameters.without,
         tick_s=0.2,
         poll_s=2.0,
         encode=False,
--- a/stileloom/simulator/cluster.py
+++ b/stileloom/simulator/cluster.py
@@ -52,7 +52,7 @@
     tick_s: float = 0.05
     poll_s: float = 0.05
     scheduler: SchedulerKind = SchedulerKind.DEFAULT
-    without: frozenset[Mechanism] = frozenset()
+    disabled_mechanisms: frozenset[Mechanism] = frozenset()
     encode: bool = True
     """Whether messages go through the wire's encoding, as in the daemon."""
     network: NetworkParameters = msgspec.field(default_factory=NetworkParameters)
@@ -153,7 +153,7 @@
                 disk,
                 self.plan.tick_s,
                 self.plan.scheduler,
-                self.plan.without,
+                self.plan.disabled_mechanisms,
                 self.plan.encode,
             )
 
--- a/stileloom/simulator/machine.py
+++ b/stileloom/simulator/machine.py
@@ -54,7 +54,7 @@
         disk: SimulatedDisk | None,
         tick_s: float,
         scheduler: SchedulerKind,
-        without: frozenset[Mechanism],
+        disabled_mechanisms: frozenset[Mechanism],
         encode: bool,
     ) -> None:
         self.member = member
@@ -69,7 +69,7 @@
         self._seeds = seeds
         self._tick_s = tick_s
         self._scheduler = scheduler
-        self._without = without
+        self._disabled_mechanisms = disabled_mechanisms
         self._encode = encode
         self._life = 0
         self._paused_until = 0.0
@@ -113,7 +113,9 @@
         if self.disk is not None:
             replica = LedgerReplica(self.disk.identity, self.disk.recover(), rng, now)
         seeds = [Seed(seed.host, seed.port) for seed in self._seeds if seed != self.member]
-        self.core = NodeCore(self.member, seeds, rng, now, replica, self._scheduler, self._without)
+        self.core = NodeCore(
+            self.member, seeds, rng, now, replica, self._scheduler, self._disabled_mechanisms
+        )
         self._paused_until = 0.0
         self._inbox.clear()
         self._schedule_tick(self._life, self._world.rng.random() * self._tick_s)
--- a/stileloom/simulator/trainer.py
+++ b/stileloom/simulator/trainer.py
@@ -261,7 +261,7 @@
                 self.offset,
                 self.parameters.samples_per_step,
             )
-            machine.call(lambda core: core.read_deliveries(self._world.now, request))
+            machine.call(lambda core: core.request_deliveries(self._world.now, request))
         wait_s = 1.0 if machine is not None else RETRY_PAUSE_S
         self._world.after(wait_s, lambda: self._send_read(number))
 
--- a/stileloom/transport/codec.py
+++ b/stileloom/transport/codec.py
@@ -14,5 +14,5 @@
     def decode(self, frame: bytes) -> tuple[str, Any]:
         """The sender and the message. Raises `msgspec.DecodeError`."""
 
-    def fits_datagram(self, message: object) -> bool:
+    def uses_datagram(self, message: object) -> bool:
         """Whether the message may be lost, and so go by UDP."""
--- a/stileloom/transport/network.py
+++ b/stileloom/transport/network.py
@@ -67,7 +67,7 @@
         frame = self._codec.encode(message)
         self.traffic.sent_bytes += len(frame)
         self.traffic.sent_messages += 1
-        small = len(frame) <= MAX_DATAGRAM_BYTES and self._codec.fits_datagram(message)
+        small = len(frame) <= MAX_DATAGRAM_BYTES and self._codec.uses_datagram(message)
         if small and self._datagrams is not None:
             self._datagrams.sendto(frame, address)
             return
--- a/stileloom/weights/swap.py
+++ b/stileloom/weights/swap.py
@@ -96,7 +96,7 @@
         load = view.load
         if load is None or view.unreachable or view.leaving:
             return False
-        if now > view.heard_at + constants.SAMPLER_REPORT_STALE_S:
+        if now > view.last_contact_at + constants.SAMPLER_REPORT_STALE_S:
             return False
         if holds(view, target):
             return False
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,7 +28,7 @@
     state = EngineState.SERVING if version is not None else EngineState.UNKNOWN_VERSION
     name = f"s{number}"
     row = LoadRow(name, state, SamplerRole.ROLLOUT, "m", version, running, 0, 8, FencingToken(0, 0))
-    return SamplerView(Machine(name, "p", "a", "10.0.0.1", 9000 + number), row, heard_at=0.0)
+    return SamplerView(Machine(name, "p", "a", "10.0.0.1", 9000 + number), row, last_contact_at=0.0)
 
 
 class EstimateTest(testtools.TestCase):
