--- a/stileloom/daemon/engine_client.py
+++ b/stileloom/daemon/engine_client.py
@@ -30,7 +30,7 @@
 class StreamFailure(msgspec.Struct, frozen=True):
     """Why a stream ended without its last frame."""
 
-    surely_not_begun: bool
+    never_started: bool
     detail: str
 
 
--- a/stileloom/daemon/shell.py
+++ b/stileloom/daemon/shell.py
@@ -173,7 +173,7 @@
         if failure is not None:
             self.run(
                 self.core.stream_failed(
-                    self.now(), request_id, failure.surely_not_begun, failure.detail
+                    self.now(), request_id, failure.never_started, failure.detail
                 )
             )
 
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -54,7 +54,7 @@
     StatusRequest,
 )
 from stileloom.routing import Gateway, GatewayView, LookupRequest
-from stileloom.routing.messages import ClaimWanted, Explanation, ReleaseWanted
+from stileloom.routing.messages import ClaimIdempotencyKey, Explanation, ReleaseIdempotencyKey
 from stileloom.samplers import CommitSampleRequest, SamplerOwner
 from stileloom.samplers.messages import (
     GenerationInterrupted,
@@ -381,7 +381,7 @@
             subset=self.ownership.subset,
             wall_time_s=self.wall_time_s,
             lease_valid=store.lease_valid(now),
-            lease_age_s=store.time_since_lease_expiry(now),
+            time_since_lease_expiry_s=store.time_since_lease_expiry(now),
         )
 
     # Driver callbacks.
@@ -424,13 +424,13 @@
         return self._process_effects(now, self.gateway.stream_end(now, request_id, end, view))
 
     def stream_failed(
-        self, now: float, request_id: str, surely_not_begun: bool, detail: str
+        self, now: float, request_id: str, never_started: bool, detail: str
     ) -> list[Effect]:
         """Handles a stream that was rejected, truncated or lost."""
         if self.owner.owns_stream(request_id):
             return self._process_effects(now, self.owner.stream_failed(request_id))
         effects = self.gateway.stream_failed(
-            now, request_id, surely_not_begun, detail, self._gateway_view(now)
+            now, request_id, never_started, detail, self._gateway_view(now)
         )
         return self._process_effects(now, effects)
 
@@ -450,7 +450,7 @@
 
     def cancel_lookup(self, now: float, request_id: str) -> list[Effect]:
         """Cancels a lookup whose client disconnected."""
-        return self._process_effects(now, self.gateway.cancelled_by_caller(request_id))
+        return self._process_effects(now, self.gateway.on_caller_disconnected(request_id))
 
     def explain(self, now: float, request: LookupRequest) -> Explanation:
         """Explains how a lookup would be routed. Raises the same errors as its admission."""
@@ -532,11 +532,11 @@
             return self._propose(now, effect.command, effect.ticket)
         if isinstance(effect, CommitSampleRequest):
             return self._submit_internal(now, effect.command, _CommitTicket(effect.key))
-        if isinstance(effect, ClaimWanted):
+        if isinstance(effect, ClaimIdempotencyKey):
             return self._submit_internal(
                 now, self._claim(effect.request), _ClaimTicket(effect.request.request_id)
             )
-        if isinstance(effect, ReleaseWanted):
+        if isinstance(effect, ReleaseIdempotencyKey):
             request = effect.request
             command = ReleaseKey(request.idempotency_key, request.request_id)
             return self._submit_internal(now, command, None)
@@ -577,7 +577,7 @@
         if isinstance(ticket, _CommitTicket):
             return self.owner.committed(now, ticket.key, effect.result)
         if isinstance(ticket, _ClaimTicket):
-            return self.gateway.claimed(
+            return self.gateway.on_claim_result(
                 now, ticket.request_id, effect.result, self._gateway_view(now)
             )
         return []
--- a/stileloom/node/ownership.py
+++ b/stileloom/node/ownership.py
@@ -102,7 +102,7 @@
         for pool in sorted(pools & served):
             machines = self._machines(pool)
             for member in self._membership.alive():
-                if member.zone != zone and machines.fill_subset(member.zone):
+                if member.zone != zone and machines.can_fill_subset(member.zone):
                     # The member's subset is filled from its own zone.
                     continue
                 for sampler_id in gateway_subset(member.node_id, member.zone, machines):
--- a/stileloom/routing/gateway.py
+++ b/stileloom/routing/gateway.py
@@ -22,11 +22,11 @@
 from stileloom.routing.messages import (
     AnswerReady,
     CandidateView,
-    ClaimWanted,
+    ClaimIdempotencyKey,
     Explanation,
     LookupAnswer,
     LookupRequest,
-    ReleaseWanted,
+    ReleaseIdempotencyKey,
     TokensReady,
 )
 from stileloom.samplers.effects import CloseStream, ConfirmNotRun, OpenStream
@@ -49,7 +49,7 @@
     """Returns the samplers of a pool that this gateway routes to."""
     wall_time_s: float
     lease_valid: bool
-    lease_age_s: float
+    time_since_lease_expiry_s: float
 
 
 class Gateway:
@@ -93,7 +93,7 @@
         self._retry_budget.record_request()
         if request.idempotency_key:
             execution.state = ExecutionState.CLAIMING
-            return [ClaimWanted(request)]
+            return [ClaimIdempotencyKey(request)]
         return self._enqueue(now, execution, service, view)
 
     def _admit(self, now: float, request: LookupRequest, view: GatewayView) -> tuple[Service, Pool]:
@@ -123,7 +123,7 @@
     def _priority(self, request: LookupRequest, view: GatewayView) -> int:
         return view.policies.priority(rule_inputs(request), view.wall_time_s)
 
-    def claimed(
+    def on_claim_result(
         self, now: float, request_id: str, result: CommandResult | None, view: GatewayView
     ) -> list[Effect]:
         """Handles the result of an idempotency key claim, None if the ledger did not respond."""
@@ -332,7 +332,7 @@
             finish_reason=end.finish_reason,
             attempts=execution.attempts,
             revision=view.configuration.revision if view.configuration else 0,
-            revision_age_s=0.0 if view.lease_valid else view.lease_age_s,
+            revision_age_s=0.0 if view.lease_valid else view.time_since_lease_expiry_s,
         )
         del self._executions[execution.request.request_id]
         return [AnswerReady(answer), *self._start_queued_for(now, execution, view)]
@@ -344,31 +344,31 @@
         return self._start_queued(now, name, view) if self._queues.get(name) else []
 
     def stream_failed(
-        self, now: float, attempt_id: str, surely_not_begun: bool, detail: str, view: GatewayView
+        self, now: float, attempt_id: str, never_started: bool, detail: str, view: GatewayView
     ) -> list[Effect]:
         """Handles a failed attempt.
 
-        `surely_not_begun` is set if no byte was sent or the sampler refused the request.
+        `never_started` is set if no byte was sent or the sampler refused the request.
         """
         execution = self._current(attempt_id)
         if execution is None:
             return []
-        return self._attempt_failed(now, execution, surely_not_begun, detail, view)
+        return self._attempt_failed(now, execution, never_started, detail, view)
 
     def _attempt_failed(
         self,
         now: float,
         execution: Execution,
-        surely_not_begun: bool,
+        never_started: bool,
         detail: str,
         view: GatewayView,
     ) -> list[Effect]:
         effects: list[Effect] = []
         # A sampler refuses while it swaps weights or after a role change; that is no failure.
-        if not surely_not_begun and self._ejections.record_failure(now, execution.sampler_id):
+        if not never_started and self._ejections.record_failure(now, execution.sampler_id):
             effects.append(Emit(LogEvent.SAMPLER_EJECTED, {"sampler": execution.sampler_id}))
         self._end_attempt(execution)
-        if surely_not_begun:
+        if never_started:
             execution.mark_attempt_not_started()
         if not execution.can_retry:
             execution.state = ExecutionState.CONFIRMING
@@ -413,7 +413,7 @@
         )
         return self._fail(execution, error)
 
-    def cancelled_by_caller(self, request_id: str) -> list[Effect]:
+    def on_caller_disconnected(self, request_id: str) -> list[Effect]:
         """Cancels a request whose caller disconnected."""
         execution = self._executions.get(request_id)
         if execution is None:
@@ -454,7 +454,7 @@
         outcome = execution.outcome_on_failure
         claimed = execution.state is not ExecutionState.CLAIMING
         if execution.request.idempotency_key and outcome is Outcome.NOT_RUN and claimed:
-            effects.append(ReleaseWanted(execution.request))
+            effects.append(ReleaseIdempotencyKey(execution.request))
         return effects + self._send_error(execution, error=error, outcome=outcome)
 
     def _send_error(
--- a/stileloom/routing/messages.py
+++ b/stileloom/routing/messages.py
@@ -55,13 +55,13 @@
     tokens: list[int]
 
 
-class ClaimWanted(msgspec.Struct, frozen=True):
-    """Effect: claim the request's idempotency key in the ledger and call `Gateway.claimed`."""
+class ClaimIdempotencyKey(msgspec.Struct, frozen=True):
+    """Effect: claim the idempotency key in the ledger and call `Gateway.on_claim_result`."""
 
     request: LookupRequest
 
 
-class ReleaseWanted(msgspec.Struct, frozen=True):
+class ReleaseIdempotencyKey(msgspec.Struct, frozen=True):
     """Effect: release the idempotency key of a request that was not run."""
 
     request: LookupRequest
--- a/stileloom/routing/subset.py
+++ b/stileloom/routing/subset.py
@@ -26,7 +26,7 @@
         remaining = [names for other, names in self._by_zone.items() if other != zone]
         return [name for names in remaining for name in names]
 
-    def fill_subset(self, zone: str) -> bool:
+    def can_fill_subset(self, zone: str) -> bool:
         """Whether a zone alone has enough samplers to fill a subset."""
         return len(self.in_zone(zone)) >= constants.SUBSET_SIZE
 
--- a/stileloom/simulator/machine.py
+++ b/stileloom/simulator/machine.py
@@ -272,13 +272,13 @@
                     lambda core: core.stream_chunk(self._world.now, request.request_id, frame)
                 )
 
-        def on_failure(surely_not_begun: bool, detail: str) -> None:
+        def on_failure(never_started: bool, detail: str) -> None:
             if life != self._life:
                 return
             self._streams.pop(request.request_id, None)
             self.call(
                 lambda core: core.stream_failed(
-                    self._world.now, request.request_id, surely_not_begun, detail
+                    self._world.now, request.request_id, never_started, detail
                 )
             )
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -203,7 +203,7 @@
         "a failed attempt is said not to have run",
         "not_run is true",
         "stileloom/routing/gateway.py",
-        "        if surely_not_begun:\n            execution.mark_attempt_not_started()",
+        "        if never_started:\n            execution.mark_attempt_not_started()",
         "        execution.mark_attempt_not_started()",
         "tests/test_routing.py",
     ),
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -122,7 +122,7 @@
         def submit(now: float, request: Any, view: Any) -> Any:
             """The ledger's answer comes at once; its own test is in test_ledger.py."""
             original(now, request, view)
-            return core.gateway.claimed(now, request.request_id, refused, view)
+            return core.gateway.on_claim_result(now, request.request_id, refused, view)
 
         core.gateway.submit = submit  # type: ignore[method-assign]
         response = self.send(self.lookup, b'{"query": "q"}', Idempotency_Key="k")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -45,7 +45,7 @@
         subset=lambda pool: names,
         wall_time_s=0.0,
         lease_valid=True,
-        lease_age_s=0.0,
+        time_since_lease_expiry_s=0.0,
     )
 
 
@@ -157,7 +157,7 @@
         assert refused.error is not None
         self.assertEqual(ErrorKind.NOT_READY, refused.error.kind)
         marked = view()
-        marked.lease_valid, marked.lease_age_s = False, 5.0
+        marked.lease_valid, marked.time_since_lease_expiry_s = False, 5.0
         sent = opened(self.gateway.submit(0.0, request(2), marked)).request
         done = answer(self.gateway.stream_end(0.1, sent.request_id, StreamEnd(0, "stop"), marked))
         self.assertEqual(5.0, done.answer.revision_age_s)
