--- a/stileloom/emulator/controller_bench.py
+++ b/stileloom/emulator/controller_bench.py
@@ -15,7 +15,7 @@
 from stileloom.lease import FencingToken
 from stileloom.ledger.commands import RegisterRound, SubmitPrompts
 from stileloom.ledger.state import LedgerState
-from stileloom.policy import PolicyBook
+from stileloom.policy import PolicyRegistry
 from stileloom.rollout.controller import Controller
 from stileloom.rollout.scheduler import DefaultScheduler
 from stileloom.rollout.view import ControllerView
@@ -121,7 +121,7 @@
                 for number, name in enumerate(names)
             },
         ),
-        policies=PolicyBook({}),
+        policies=PolicyRegistry({}),
         table=table,
         owner_of=lambda sampler_id: "node",
         is_healthy=lambda node_id: True,
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -35,7 +35,7 @@
 from stileloom.node import dispatch
 from stileloom.node.ownership import Ownership
 from stileloom.node.status import leader_status
-from stileloom.policy import PolicyBook
+from stileloom.policy import PolicyRegistry
 from stileloom.rollout import (
     Controller,
     ControllerView,
@@ -131,7 +131,7 @@
         self.ownership = Ownership(self.membership, self.table)
         self.controller: Controller | None = None
         self.authority: ConfigurationAuthority | None = None
-        self.policies = PolicyBook({})
+        self.policies = PolicyRegistry({})
         self.draining = False
         self.wall_time_s = 0.0
         self._scheduler_kind = scheduler
@@ -606,5 +606,5 @@
     def _on_configuration_adopted(self) -> list[Effect]:
         configuration = self.configuration.store.configuration
         assert configuration is not None
-        self.policies = PolicyBook(configuration.policies)
+        self.policies = PolicyRegistry(configuration.policies)
         return []
--- a/stileloom/policy/__init__.py
+++ b/stileloom/policy/__init__.py
@@ -1,12 +1,12 @@
 """Policies: operator-defined CEL rules for priority, freshness and placement."""
 
-from stileloom.policy.book import PolicyBook, RuleOutcome, check_policy
 from stileloom.policy.compiler import CompiledRule, RuleKind, compile_rule
 from stileloom.policy.inputs import PoolInput, RequestInput, RoundInput, RuleInputs, TimeInput
+from stileloom.policy.registry import PolicyRegistry, RuleOutcome, check_policy
 
 __all__ = [
     "CompiledRule",
-    "PolicyBook",
+    "PolicyRegistry",
     "PoolInput",
     "RequestInput",
     "RoundInput",
--- a/stileloom/policy/book.py
+++ b/stileloom/policy/registry.py
@@ -73,7 +73,7 @@
         ) from error
 
 
-class PolicyBook:
+class PolicyRegistry:
     """All compiled policies of one configuration revision."""
 
     def __init__(self, policies: dict[str, Policy]) -> None:
--- a/stileloom/rollout/view.py
+++ b/stileloom/rollout/view.py
@@ -9,7 +9,7 @@
 from stileloom.api.objects import Configuration
 from stileloom.ledger.commands import Command
 from stileloom.ledger.state import LedgerState
-from stileloom.policy import PolicyBook
+from stileloom.policy import PolicyRegistry
 from stileloom.samplers.table import SamplerTable
 
 
@@ -46,7 +46,7 @@
 
     state: LedgerState
     configuration: Configuration
-    policies: PolicyBook
+    policies: PolicyRegistry
     table: SamplerTable
     owner_of: Callable[[str], str | None]
     is_healthy: Callable[[str], bool]
--- a/stileloom/routing/explain.py
+++ b/stileloom/routing/explain.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stileloom.policy import PolicyBook, RequestInput, RuleInputs, RuleKind
+from stileloom.policy import PolicyRegistry, RequestInput, RuleInputs, RuleKind
 from stileloom.routing.choice import Candidate, choose_sampler
 from stileloom.routing.messages import CandidateView, Explanation, LookupRequest
 
@@ -28,7 +28,7 @@
     pool: str,
     candidate_views: list[CandidateView],
     zone: str,
-    policies: PolicyBook,
+    policies: PolicyRegistry,
     inputs: RuleInputs,
     wall_time_s: float,
 ) -> Explanation:
--- a/stileloom/routing/gateway.py
+++ b/stileloom/routing/gateway.py
@@ -14,7 +14,7 @@
 from stileloom.errors import ErrorKind, Outcome, StileloomError
 from stileloom.events import LogEvent
 from stileloom.ledger.commands import CommandResult, Done, Refused
-from stileloom.policy import PolicyBook, PoolInput
+from stileloom.policy import PolicyRegistry, PoolInput
 from stileloom.routing.choice import Candidate, choose_sampler
 from stileloom.routing.execution import Execution, ExecutionState, is_attempt_id
 from stileloom.routing.explain import explanation, rule_inputs
@@ -43,7 +43,7 @@
     """Read-only context of one call to the gateway."""
 
     configuration: Configuration | None
-    policies: PolicyBook
+    policies: PolicyRegistry
     table: SamplerTable
     subset: Callable[[str], list[str]]
     """Returns the samplers of a pool that this gateway routes to."""
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 from stileloom.cli.manifests import load_manifests
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.policy import (
-    PolicyBook,
+    PolicyRegistry,
     PoolInput,
     RequestInput,
     RoundInput,
@@ -40,19 +40,19 @@
             freshness=failing_source,
             placement=f"{failing_source} > -100000",
         )
-        book = PolicyBook({"p": policy})
+        registry = PolicyRegistry({"p": policy})
         valid_inputs = RuleInputs()
-        self.assertTrue(book.may_place(valid_inputs, NOON_UTC_S))
+        self.assertTrue(registry.may_place(valid_inputs, NOON_UTC_S))
         failing_inputs = RuleInputs(
             request=RequestInput(max_tokens=7, priority=33), round=RoundInput(staleness_bound=4)
         )
-        self.assertEqual(33, book.priority(failing_inputs, NOON_UTC_S))
-        self.assertEqual(0, book.staleness_bound(failing_inputs, NOON_UTC_S))
-        self.assertFalse(book.may_place(failing_inputs, NOON_UTC_S))
-        self.assertFalse(book.may_place(failing_inputs, NOON_UTC_S))
-        counts = {failure.rule: failure.count for failure in book.take_failures()}
+        self.assertEqual(33, registry.priority(failing_inputs, NOON_UTC_S))
+        self.assertEqual(0, registry.staleness_bound(failing_inputs, NOON_UTC_S))
+        self.assertFalse(registry.may_place(failing_inputs, NOON_UTC_S))
+        self.assertFalse(registry.may_place(failing_inputs, NOON_UTC_S))
+        counts = {failure.rule: failure.count for failure in registry.take_failures()}
         self.assertEqual({"priority": 1, "freshness": 1, "placement": 2}, counts)
-        self.assertEqual([], book.take_failures())
+        self.assertEqual([], registry.take_failures())
 
     def test_comprehension_can_use_its_bound_variable(self) -> None:
         rule = compile_rule(RuleKind.PLACEMENT, "[1, 2].all(x, x > 0)")
@@ -108,40 +108,40 @@
     """Rules of several policies combine."""
 
     def test_priority_is_ordered_by_rank_then_name(self) -> None:
-        book = PolicyBook(
+        registry = PolicyRegistry(
             {
                 "b": Policy(priority="10"),
                 "a": Policy(priority="20"),
                 "high": Policy(priority="request.tenant == 'x' ? 900 : 30", rank=1),
             }
         )
-        self.assertEqual(30, book.priority(RuleInputs(), 0.0))
+        self.assertEqual(30, registry.priority(RuleInputs(), 0.0))
         capped = RuleInputs(request=RequestInput(tenant="x"))
-        self.assertEqual(100, book.priority(capped, 0.0))
+        self.assertEqual(100, registry.priority(capped, 0.0))
 
     def test_freshness_only_lowers_the_bound(self) -> None:
-        book = PolicyBook({"loose": Policy(freshness="9"), "tight": Policy(freshness="1")})
+        registry = PolicyRegistry({"loose": Policy(freshness="9"), "tight": Policy(freshness="1")})
         inputs = RuleInputs(round=RoundInput(staleness_bound=4))
-        self.assertEqual(1, book.staleness_bound(inputs, 0.0))
-        loose = PolicyBook({"loose": Policy(freshness="9")})
+        self.assertEqual(1, registry.staleness_bound(inputs, 0.0))
+        loose = PolicyRegistry({"loose": Policy(freshness="9")})
         self.assertEqual(4, loose.staleness_bound(inputs, 0.0))
 
     def test_placement_requires_all_rules(self) -> None:
-        book = PolicyBook(
+        registry = PolicyRegistry(
             {
                 "zone": Policy(placement="pool.zone != 'c'"),
                 "charts": Policy(placement="pool.name == 'p'", applies_to=["charts"]),
             }
         )
-        self.assertFalse(book.may_place(RuleInputs(pool=PoolInput("p", "c")), 0.0))
+        self.assertFalse(registry.may_place(RuleInputs(pool=PoolInput("p", "c")), 0.0))
         charts = RequestInput(target="charts")
-        self.assertFalse(book.may_place(RuleInputs(charts, pool=PoolInput("q", "a")), 0.0))
-        self.assertTrue(book.may_place(RuleInputs(pool=PoolInput("q", "a")), 0.0))
+        self.assertFalse(registry.may_place(RuleInputs(charts, pool=PoolInput("q", "a")), 0.0))
+        self.assertTrue(registry.may_place(RuleInputs(pool=PoolInput("q", "a")), 0.0))
 
     def test_rules_use_the_time_zone_of_their_policy(self) -> None:
         source = "time.hour"
-        book = PolicyBook({"p": Policy(priority=source, time_zone="America/Costa_Rica")})
-        self.assertEqual(6, book.priority(RuleInputs(), NOON_UTC_S))
+        registry = PolicyRegistry({"p": Policy(priority=source, time_zone="America/Costa_Rica")})
+        self.assertEqual(6, registry.priority(RuleInputs(), NOON_UTC_S))
 
 
 class ExampleTest(testtools.TestCase):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,7 @@
 from stileloom.effects import Effect
 from stileloom.errors import ErrorKind, Outcome
 from stileloom.lease import FencingToken
-from stileloom.policy import PolicyBook
+from stileloom.policy import PolicyRegistry
 from stileloom.routing import AnswerReady, Gateway, GatewayView, LookupRequest
 from stileloom.routing.choice import Candidate, choose_sampler
 from stileloom.routing.limits import RetryBudget, SamplerEjections, TenantLimits
@@ -40,7 +40,7 @@
             pools={"p": Pool(SamplerRole.LOOKUP, "m")},
             services={"svc": Service("p", **service)},  # type: ignore[arg-type]
         ),
-        policies=PolicyBook({}),
+        policies=PolicyRegistry({}),
         table=table,
         subset=lambda pool: names,
         wall_time_s=0.0,
