--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -203,7 +203,7 @@
             page = await self._cached.list_objects(self._dialect.kinds.ledger_nodes)
         except StileloomError:
             return
-        self._nodes.learn(list(ledger_node_addresses(page.records).values()))
+        self._nodes.update_addresses(list(ledger_node_addresses(page.records).values()))
 
 
 async def serve_gateway(settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -15,7 +15,7 @@
 from stileloom.errors import StileloomError
 from stileloom.events import LogEvent
 from stileloom.jobs.metrics import JobMetrics
-from stileloom.jobs.runner import JobRunner, LeaderParts
+from stileloom.jobs.runner import JobRunner, RunnerDependencies
 from stileloom.ledger.commands import RetireNode
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
@@ -46,15 +46,15 @@
         log: EventLog,
         metrics: JobMetrics,
         rng: random.Random,
-        orders_from: float,
+        earliest_order_at: float,
     ) -> None:
         self.epoch = driver.replica.epoch
         self.runner = JobRunner(
-            LeaderParts(
+            RunnerDependencies(
                 node_id=settings.node_id,
                 epoch=self.epoch,
-                orders_from=orders_from,
-                book=driver.state.job_book,
+                earliest_order_at=earliest_order_at,
+                registry=driver.state.job_book,
                 ledger=driver,
                 routes=directory.routes,
                 samplers=directory.samplers,
@@ -75,7 +75,7 @@
         self._removals: dict[str, bool] = {}
         """Nodes to be emptied, and whether the end was written."""
         for belief in directory.samplers.all():
-            self.runner.sampler_seen(belief.entry.sampler_id, belief.entry.model_versions)
+            self.runner.on_sampler_listed(belief.entry.sampler_id, belief.entry.model_versions)
         kinds = dialect.kinds
         versions = ObjectWatcher(
             store,
@@ -109,7 +109,7 @@
     def _versions_listed(self, records: list[ObjectRecord]) -> None:
         for record in records:
             self._note_version(record)
-        self.runner.versions_listed()
+        self.runner.on_versions_listed()
 
     def _version_changed(self, event: ObjectEvent) -> None:
         if not event.gone:
@@ -122,14 +122,14 @@
             fields: dict[str, object] = {"name": record.name, "detail": error.detail}
             self._log.emit(LogEvent.OBJECT_NOT_UNDERSTOOD, {"what": "version", **fields})
             return
-        self.runner.version_named(named.model, named.version)
+        self.runner.on_version_announced(named.model, named.version)
 
     # Jobs that nobody may ask for any more.
 
     async def _expire(self) -> None:
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL_S)
-            for command in self.runner.expired(self._retention_s):
+            for command in self.runner.retention_commands(self._retention_s):
                 try:
                     await self._driver.propose(command)
                 except StileloomError:
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -288,12 +288,12 @@
 
     def _sampler_seen(self, entry: SamplerEntry) -> None:
         if self._leadership is not None:
-            self._leadership.runner.sampler_seen(entry.sampler_id, entry.model_versions)
+            self._leadership.runner.on_sampler_listed(entry.sampler_id, entry.model_versions)
 
     def _sampler_gone(self, sampler_id: str) -> None:
         self._forwarder.forget(sampler_id)
         if self._leadership is not None:
-            self._leadership.runner.sampler_gone(sampler_id)
+            self._leadership.runner.on_sampler_removed(sampler_id)
 
 
 class _CallsLedger:
--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -38,7 +38,7 @@
         self._consecutive_failures = 0
         self._round_robin_index = 0
 
-    def learn(self, addresses: list[tuple[str, int]]) -> None:
+    def update_addresses(self, addresses: list[tuple[str, int]]) -> None:
         """Replaces the addresses; those no longer listed remain as fallback."""
         if not addresses:
             return
--- a/stileloom/jobs/intake.py
+++ b/stileloom/jobs/intake.py
@@ -4,8 +4,8 @@
 
 from stileloom.api.headers import HeaderNames
 from stileloom.api.jobs import FinishedItem, ItemState
-from stileloom.jobs.book import JobBook, JobRecord
 from stileloom.jobs.open_items import ItemSize
+from stileloom.jobs.registry import JobRecord, JobRegistry
 
 MAX_TOKENS = 1e9
 
@@ -24,7 +24,9 @@
     return ItemSize(expected, prompt or 0.0)
 
 
-def reusable_results(book: JobBook, record: JobRecord, single_version: bool) -> list[FinishedItem]:
+def reusable_results(
+    registry: JobRegistry, record: JobRecord, single_version: bool
+) -> list[FinishedItem]:
     """Finds acceptable results of other jobs for items that this job reuses."""
     wanted = {
         item.item_id: item.reward
@@ -33,7 +35,7 @@
     }
     min_version = record.submission.min_version
     found: list[FinishedItem] = []
-    for other_job in book.jobs.values():
+    for other_job in registry.jobs.values():
         if other_job is record or other_job.submission.model != record.submission.model:
             continue
         rewards = {item.item_id: item.reward for item in other_job.submission.items}
--- a/stileloom/jobs/model_versions.py
+++ b/stileloom/jobs/model_versions.py
@@ -16,7 +16,7 @@
     loading: str | None = None
     """The model that is being loaded, if any."""
 
-    def saw(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Records an observed version."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
--- a/stileloom/jobs/order_window.py
+++ b/stileloom/jobs/order_window.py
@@ -15,10 +15,10 @@
 class OrderWindow:
     """Order windows of one leadership."""
 
-    def __init__(self, node_id: str, ledger: LeaderLedger, needed: bool = True) -> None:
+    def __init__(self, node_id: str, ledger: LeaderLedger, required: bool = True) -> None:
         self._node_id = node_id
         self._ledger = ledger
-        self._closes_at = float("-inf") if needed else float("inf")
+        self._closes_at = float("-inf") if required else float("inf")
         """Infinite if windows are disabled; then only the lease restricts orders."""
 
     def is_open(self) -> bool:
--- a/stileloom/jobs/book.py
+++ b/stileloom/jobs/registry.py
@@ -57,7 +57,7 @@
         return ResultPage(len(self.submission.items), position + len(chosen), chosen)
 
 
-class JobBook(msgspec.Struct):
+class JobRegistry(msgspec.Struct):
     """All jobs by id."""
 
     jobs: dict[str, JobRecord] = msgspec.field(default_factory=dict)
--- a/stileloom/jobs/result_cache.py
+++ b/stileloom/jobs/result_cache.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stileloom.api.jobs import ItemResult, ResultPage
-from stileloom.jobs.book import PAGE_BYTES, result_size
+from stileloom.jobs.registry import PAGE_BYTES, result_size
 
 MAX_BYTES = 12_000_000
 """Maximum size per gateway; least recently read jobs are evicted first."""
--- a/stileloom/jobs/result_writer.py
+++ b/stileloom/jobs/result_writer.py
@@ -9,10 +9,10 @@
 from stileloom.background import BackgroundTasks
 from stileloom.errors import StileloomError
 from stileloom.events import LogEvent
-from stileloom.jobs.book import JobBook
 from stileloom.jobs.leader_ledger import LeaderLedger
 from stileloom.jobs.metrics import JobMetrics
 from stileloom.jobs.open_items import OpenItem
+from stileloom.jobs.registry import JobRegistry
 from stileloom.jobs.scheduler import ItemScheduler
 from stileloom.ledger.commands import (
     RecordIntervals,
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        registry: JobBook,
+        registry: JobRegistry,
         ledger: LeaderLedger,
         scheduler: ItemScheduler,
         tasks: BackgroundTasks,
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -19,7 +19,6 @@
 from stileloom.events import LogEvent
 from stileloom.http1.connection import SamplerConnection
 from stileloom.http1.pool import ConnectionPool
-from stileloom.jobs.book import JobBook, JobRecord
 from stileloom.jobs.intake import item_size, reusable_results
 from stileloom.jobs.item_request import encode_item_request
 from stileloom.jobs.item_stream import ItemStream, RunOutcome
@@ -31,6 +30,7 @@
     OpenItem,
     StartRun,
 )
+from stileloom.jobs.registry import JobRecord, JobRegistry
 from stileloom.jobs.result_writer import ResultWriter
 from stileloom.jobs.reward_caller import RewardCaller
 from stileloom.jobs.scheduler import ItemScheduler
@@ -59,14 +59,14 @@
 MAX_MOVES_PER_STEP = 3
 
 
-class LeaderParts(msgspec.Struct, frozen=True):
+class RunnerDependencies(msgspec.Struct, frozen=True):
     """Dependencies of a runner and the parameters of its leadership."""
 
     node_id: str
     epoch: int
-    orders_from: float
+    earliest_order_at: float
     """Monotonic time at which orders become safe: no earlier leader can still send any."""
-    book: JobBook
+    registry: JobRegistry
     ledger: LeaderLedger
     routes: RouteTable
     samplers: SamplerTable
@@ -81,16 +81,25 @@
 class JobRunner:
     """Schedules and runs items during one leadership."""
 
-    def __init__(self, parts: LeaderParts) -> None:
-        registry, ledger, samplers = parts.book, parts.ledger, parts.samplers
-        dialect, log, metrics, switches = parts.dialect, parts.log, parts.metrics, parts.switches
+    def __init__(self, dependencies: RunnerDependencies) -> None:
+        registry, ledger, samplers = (
+            dependencies.registry,
+            dependencies.ledger,
+            dependencies.samplers,
+        )
+        dialect, log, metrics, switches = (
+            dependencies.dialect,
+            dependencies.log,
+            dependencies.metrics,
+            dependencies.switches,
+        )
         self.scheduler = ItemScheduler(samplers, registry.interval_s, switches)
         self.planner = VersionPlanner(self.scheduler, samplers, switches)
         self._switches = switches
-        self._orders_allowed_at = parts.orders_from
+        self._orders_allowed_at = dependencies.earliest_order_at
         self._registry = registry
         self._ledger = ledger
-        self._routes = parts.routes
+        self._routes = dependencies.routes
         self._samplers = samplers
         self._dialect = dialect
         self._log = log
@@ -105,13 +114,15 @@
         self._starts_allowed_at = steady_time() + START_DELAY_S
         """Delays the first runs, so that they do not start on samplers that are about to load."""
         self._tasks = BackgroundTasks(log)
-        self._suspects = SuspectItems(parts.guard, self.scheduler, self._host_of, self._tasks, log)
+        self._suspects = SuspectItems(
+            dependencies.guard, self.scheduler, self._host_of, self._tasks, log
+        )
         self._writer = ResultWriter(
             registry, ledger, self.scheduler, self._tasks, log, metrics, self._schedule_step
         )
         self._loader = WeightLoader(
-            parts.node_id,
-            parts.epoch,
+            dependencies.node_id,
+            dependencies.epoch,
             self.scheduler,
             self.planner,
             samplers,
@@ -123,7 +134,7 @@
             switches.order_windows,
         )
         self._rewards = RewardCaller(
-            parts.forwarder, parts.routes, samplers, dialect.names, self, log, metrics
+            dependencies.forwarder, dependencies.routes, samplers, dialect.names, self, log, metrics
         )
 
     def stop(self) -> None:
@@ -138,26 +149,26 @@
 
     # Notifications from the node.
 
-    def version_named(self, model: str, version: int) -> None:
+    def on_version_announced(self, model: str, version: int) -> None:
         """Handles a version announced by a trainer."""
-        if self.planner.named(model, version, steady_time()):
+        if self.planner.set_target(model, version, steady_time()):
             self._log.emit(LogEvent.VERSION_NAMED, {"model": model, "version": version})
 
-    def versions_listed(self) -> None:
+    def on_versions_listed(self) -> None:
         """Handles the end of the initial list of announced versions."""
         self._version_list_deadline = float("-inf")
         self._starts_allowed_at = float("-inf")
         self._schedule_step()
 
-    def sampler_seen(self, sampler_id: str, versions: dict[str, int]) -> None:
+    def on_sampler_listed(self, sampler_id: str, versions: dict[str, int]) -> None:
         """Records the versions of a sampler that the directory lists."""
         self._loader.record_versions(sampler_id, versions)
 
-    def sampler_gone(self, sampler_id: str) -> None:
+    def on_sampler_removed(self, sampler_id: str) -> None:
         """Handles a sampler that is leaving or gone; its runs continue while events arrive."""
-        self._suspects.forget_sampler(sampler_id)
+        self._suspects.remove_sampler(sampler_id)
         self._pool.forget(sampler_id)
-        self._loader.forget_sampler(sampler_id)
+        self._loader.remove_sampler(sampler_id)
 
     def results_wait(self, job_id: str) -> asyncio.Future[None]:
         """Returns a future that is resolved when the job has new results or has ended."""
@@ -205,10 +216,10 @@
             sampler_id = self.scheduler.faster_sampler(open_item, now)
             if sampler_id is not None and len(starts) < MAX_MOVES_PER_STEP:
                 self._stop_run(open_item, "moved", avoid=True)
-                starts.append(self.scheduler.start_at(open_item, sampler_id, now))
-        self._begin(starts)
+                starts.append(self.scheduler.start_on(open_item, sampler_id, now))
+        self._start_runs(starts)
 
-    def _begin(self, starts: list[StartRun]) -> None:
+    def _start_runs(self, starts: list[StartRun]) -> None:
         self._log_started_runs(starts)
         for start in starts:
             self._tasks.spawn(self._run_item(start))
@@ -217,7 +228,7 @@
         assert service.engine is not None
         models = service.engine.models
         self.scheduler.cache_tokens[service.name] = service.engine.cache_tokens
-        self.scheduler.share_out(service.name, models)
+        self.scheduler.assign_models(service.name, models)
         if now >= max(self._orders_allowed_at, self._version_list_deadline):
             single_version_models = {
                 item.model for item in self.scheduler.items.values() if item.single_version
@@ -228,7 +239,7 @@
                     open_item.not_before = 0.0
                 self._tasks.spawn(self._load(load))
         if now >= self._starts_allowed_at:
-            self._begin(self.scheduler.plan_starts(now, models))
+            self._start_runs(self.scheduler.plan_starts(now, models))
 
     def _log_started_runs(self, starts: list[StartRun]) -> None:
         """Logs one line per job and sampler, since a step may start dozens of items."""
@@ -245,7 +256,7 @@
                     "items": [item.item.item_id for item in items],
                     "after_events": [item.partial.last_event_id or 0 for item in items],
                     "version": versions.get(items[0].model, 0),
-                    "running_there": self.scheduler.pace(sampler_id).running,
+                    "running_there": self.scheduler.stats(sampler_id).running,
                 },
             )
 
@@ -279,7 +290,7 @@
             self._writer.list_result(submission.job_id, finished)
         names = self._dialect.names
         sizes = {item.item_id: item_size(item.headers, names) for item in submission.items}
-        self.planner.named(submission.model, submission.min_version, now)
+        self.planner.set_target(submission.model, submission.min_version, now)
         self.scheduler.adopt_job(
             record,
             route.backends[0].service,
@@ -319,7 +330,7 @@
 
     def _remove_job(self, job_id: str) -> None:
         self._metrics.job_time.observe(steady_time() - self._adopted[job_id])
-        for open_item in self.scheduler.drop_job(job_id):
+        for open_item in self.scheduler.remove_job(job_id):
             self._stop_run(open_item, "job ended")
             self._rewards.cancel(open_item.key)
         self._writer.notify_waiters(job_id)
@@ -402,7 +413,7 @@
                     "sampler": run.sampler_id,
                     "events": len(open_item.partial.parts),
                     "events_left": round(self.scheduler.events_left(open_item)),
-                    "event_ms": round(self.scheduler.pace(run.sampler_id).interval_s * 1000),
+                    "event_ms": round(self.scheduler.stats(run.sampler_id).interval_s * 1000),
                     "silent_ms": round((steady_time() - run.last_event_at) * 1000),
                     "reason": reason,
                 },
@@ -438,7 +449,7 @@
         if outcome is RunOutcome.BROKEN:
             self._suspects.on_run_broken(open_item, entry, now - start.run.started_at)
         if outcome is RunOutcome.REFUSED:
-            self.scheduler.pace(sampler_id).refused_until = now + REFUSAL_BACKOFF_S
+            self.scheduler.stats(sampler_id).refused_until = now + REFUSAL_BACKOFF_S
         elif outcome is RunOutcome.MISDIRECTED:
             self._samplers.mark_leaving(sampler_id)
         elif outcome is RunOutcome.FAILED:
@@ -523,7 +534,7 @@
         await self._loader.load(load)
         self._schedule_step()
 
-    def expired(self, retention_s: float) -> list[ForgetJob]:
+    def retention_commands(self, retention_s: float) -> list[ForgetJob]:
         """Returns commands that remove jobs without open items after the retention period."""
         now = steady_time()
         return [
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -10,7 +10,6 @@
 
 from collections.abc import Set as AbstractSet
 
-from stileloom.jobs.book import JobRecord
 from stileloom.jobs.model_versions import SamplerModels, assign_samplers
 from stileloom.jobs.open_items import (
     DEFAULT_EXPECTED_TOKENS,
@@ -23,10 +22,11 @@
     StartRun,
 )
 from stileloom.jobs.partial_text import PartialText
+from stileloom.jobs.registry import JobRecord
 from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
 from stileloom.switches import ALL_ON, Switches
 
-SILENCE_S = 1.3
+EVENT_TIMEOUT_S = 1.3
 """A run without an event for this long is resumed on another sampler."""
 LOADING_EVENT_TIMEOUT_S = 4.0
 """Event timeout while the sampler loads weights."""
@@ -72,7 +72,7 @@
         self._assignment_inputs: tuple[frozenset[str], frozenset[str]] | None = None
         self._demand: dict[str, float] = {}
         self._assigned_demand: dict[str, float] = {}
-        self._kept: dict[str, PartialText] = {}
+        self._retained_texts: dict[str, PartialText] = {}
         self._seen_item_ids: set[str] = set()
 
     # Jobs.
@@ -99,7 +99,7 @@
             if item.item_id in record.listed or key in self.items:
                 continue
             saved = record.progress.get(item.item_id)
-            retained = self._kept.pop(item.item_id, None)
+            retained = self._retained_texts.pop(item.item_id, None)
             partial = saved.copy() if saved is not None else retained
             if partial is None or not partial.satisfies(submission.min_version, single_version):
                 partial = PartialText()
@@ -128,7 +128,7 @@
             sizes.get(item.item_id, ItemSize()).expected_tokens for item in submission.items
         )
 
-    def drop_job(self, job_id: str) -> list[OpenItem]:
+    def remove_job(self, job_id: str) -> list[OpenItem]:
         """Removes and returns the items of an ended job; the caller stops their runs."""
         dropped = [item for key, item in self.items.items() if key[0] == job_id]
         for open_item in dropped:
@@ -139,9 +139,9 @@
 
     def _retain_text(self, open_item: OpenItem) -> None:
         """Retains the partial text for a later job that reuses the item."""
-        self._kept[open_item.item.item_id] = open_item.partial
-        while len(self._kept) > MAX_RETAINED_TEXTS:
-            self._kept.pop(next(iter(self._kept)))
+        self._retained_texts[open_item.item.item_id] = open_item.partial
+        while len(self._retained_texts) > MAX_RETAINED_TEXTS:
+            self._retained_texts.pop(next(iter(self._retained_texts)))
 
     def remove_listed(self, key: ItemKey) -> None:
         """Removes an item whose result is committed."""
@@ -149,7 +149,7 @@
 
     # Samplers.
 
-    def pace(self, sampler_id: str) -> SamplerStats:
+    def stats(self, sampler_id: str) -> SamplerStats:
         """Returns the statistics of a sampler, created on first use."""
         return self._stats.setdefault(sampler_id, SamplerStats())
 
@@ -165,7 +165,7 @@
         """Returns the known model versions of a sampler, created on first use."""
         return self.models.setdefault(sampler_id, SamplerModels())
 
-    def share_out(self, service: str, models: list[str]) -> dict[str, str]:
+    def assign_models(self, service: str, models: list[str]) -> dict[str, str]:
         """Returns the model assigned to each sampler; empty if every sampler serves all models."""
         if not self._switches.sampler_shares:
             return {}
@@ -247,7 +247,7 @@
 
     def _start(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
         open_item.run = ItemRun(sampler_id, now, now)
-        stats = self.pace(sampler_id)
+        stats = self.stats(sampler_id)
         stats.running += 1
         open_item.run.tokens = open_item.estimated_tokens
         stats.tokens += open_item.run.tokens
@@ -268,7 +268,7 @@
         sampler_id = sampler.entry.sampler_id
         if not self.serves(sampler_id, open_item.model):
             return False
-        stats = self.pace(sampler_id)
+        stats = self.stats(sampler_id)
         if stats.running >= sampler.entry.slots or now < stats.refused_until:
             return False
         if sampler.suspect_until > now or (sampler.failures and stats.running):
@@ -288,7 +288,7 @@
         return not (open_item.single_version and text_versions and text_versions != [version])
 
     def _cost(self, open_item: OpenItem, sampler: SamplerBelief) -> tuple[bool, float]:
-        stats = self.pace(sampler.entry.sampler_id)
+        stats = self.stats(sampler.entry.sampler_id)
         fill = stats.running / max(1, sampler.entry.slots)
         slowdown = FULL_SAMPLER_SLOWDOWN if self._switches.fastest_first else 1.0
         cost = stats.interval_s * (1.0 + slowdown * fill)
@@ -305,7 +305,7 @@
             if run is None:
                 continue
             loading = self.models_of(run.sampler_id).loading == open_item.model
-            timeout_s = LOADING_EVENT_TIMEOUT_S if loading else SILENCE_S
+            timeout_s = LOADING_EVENT_TIMEOUT_S if loading else EVENT_TIMEOUT_S
             if now - run.last_event_at > timeout_s:
                 self._samplers.failed(run.sampler_id, now)
                 unresponsive.append(open_item)
@@ -339,19 +339,19 @@
         run = open_item.run
         if run is None or run.events < 2 or now - run.started_at < MOVE_MIN_AGE_S:
             return None
-        current_interval_s = self.pace(run.sampler_id).interval_s
+        current_interval_s = self.stats(run.sampler_id).interval_s
         best = self._best_sampler(open_item, now)
         if best is None:
             return None
         sampler_id = best.entry.sampler_id
-        best_interval_s = self.pace(sampler_id).interval_s
+        best_interval_s = self.stats(sampler_id).interval_s
         gain_s = (current_interval_s - best_interval_s) * self.events_left(open_item)
         is_worthwhile = (
             current_interval_s > best_interval_s * MOVE_MIN_SPEEDUP and gain_s > MOVE_MIN_GAIN_S
         )
         return sampler_id if is_worthwhile else None
 
-    def start_at(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
+    def start_on(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
         """Starts an item on a given sampler and counts it as running."""
         return self._start(open_item, sampler_id, now)
 
@@ -373,7 +373,7 @@
             if other_id == sampler_id:
                 continue
             if runs and all(self._can_run(item, sampler, now) for item in runs):
-                free_slots += sampler.entry.slots - self.pace(other_id).running
+                free_slots += sampler.entry.slots - self.stats(other_id).running
         return runs if free_slots - reserved_slots >= len(runs) else None
 
     def items_to_save(self) -> list[OpenItem]:
@@ -395,7 +395,7 @@
         if run.events == 0:
             self._samplers.answered(run.sampler_id)
         else:
-            stats = self.pace(run.sampler_id)
+            stats = self.stats(run.sampler_id)
             stats.measured = True
             interval_s = now - run.last_event_at
             stats.interval_s += (
@@ -411,15 +411,15 @@
             return
         if avoid:
             open_item.avoid_sampler_id = run.sampler_id
-        stats = self.pace(run.sampler_id)
+        stats = self.stats(run.sampler_id)
         stats.running -= 1
         stats.tokens -= run.tokens
         open_item.run = None
 
-    def forget_sampler(self, sampler_id: str) -> None:
+    def remove_sampler(self, sampler_id: str) -> None:
         """Removes the state of a sampler that is gone."""
         self.models.pop(sampler_id, None)
-        if self.pace(sampler_id).running == 0:
+        if self.stats(sampler_id).running == 0:
             self._stats.pop(sampler_id, None)
 
     def running_on(self, sampler_id: str, model: str) -> int:
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -8,7 +8,6 @@
 from stileloom.clock import steady_time
 from stileloom.errors import StileloomError
 from stileloom.events import LogEvent
-from stileloom.jobs.book import JobRecord
 from stileloom.jobs.leader_ledger import LeaderLedger
 from stileloom.jobs.messages import (
     EndJobCall,
@@ -25,6 +24,7 @@
     ResultsRead,
     SubmitJobCall,
 )
+from stileloom.jobs.registry import JobRecord
 from stileloom.jobs.runner import JobRunner
 from stileloom.ledger.commands import EndJob, Refused, SubmitJob
 from stileloom.ledger.state import LedgerState
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -71,7 +71,7 @@
         if not self._guard.view.empty:
             self._guard.answered(self._identity(open_item), suspected=False)
 
-    def forget_sampler(self, sampler_id: str) -> None:
+    def remove_sampler(self, sampler_id: str) -> None:
         """Releases the sampler's suspect."""
         self._suspect_by_sampler.pop(sampler_id, None)
 
--- a/stileloom/jobs/version_planner.py
+++ b/stileloom/jobs/version_planner.py
@@ -2,8 +2,8 @@
 
 A sampler cannot generate while it loads, so a load waits until its runs have ended or can be
 moved; items of a step may still run on the previous version. A load is due immediately if
-waiting items require the newer version. `loads_at_once` limits how many samplers of a service
-load concurrently, since they share bandwidth and the others have to continue the work.
+waiting items require the newer version. `max_concurrent_loads` limits how many samplers of a
+service load concurrently, since they share bandwidth and the others have to continue the work.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 MAX_LOADING_SHARE = 0.4
 """Maximum fraction of a service's samplers that load concurrently."""
 MIN_CONCURRENT_LOADS = 2
-SETTLE_S = 0.4
+LOAD_DELAY_S = 0.4
 """Delay after a version is announced, for the items of its step to arrive and start."""
 MAX_EVACUATED_SLOT_SHARE = 0.4
 """Maximum fraction of slots in use at which a sampler's runs are moved to allow a load."""
 
 
-def loads_at_once(samplers: int) -> int:
+def max_concurrent_loads(samplers: int) -> int:
     """Returns how many of a service's samplers may load concurrently."""
     return max(MIN_CONCURRENT_LOADS, int(samplers * MAX_LOADING_SHARE))
 
@@ -54,7 +54,7 @@
         self._samplers = samplers
         self._not_before: dict[str, float] = {}
 
-    def named(self, model: str, version: int, now: float) -> bool:
+    def set_target(self, model: str, version: int, now: float) -> bool:
         """Sets a version announced by a trainer as the target; returns whether it is newer."""
         if version <= self.targets.get(model, 0):
             return False
@@ -94,7 +94,7 @@
         return chosen
 
     def _max_loads(self, samplers: int) -> int:
-        return loads_at_once(samplers) if self._switches.parallel_loads else 1
+        return max_concurrent_loads(samplers) if self._switches.parallel_loads else 1
 
     def _has_free_slots(self, load: Load, now: float, reserved_slots: int) -> bool:
         runs_to_evacuate = self._scheduler.runs_to_evacuate(
@@ -145,7 +145,7 @@
         if runs_to_evacuate and not self._switches.evacuation:
             runs_to_evacuate = None
         if not is_required:
-            if has_waiting_items or now - self._announced_at.get(model, now) < SETTLE_S:
+            if has_waiting_items or now - self._announced_at.get(model, now) < LOAD_DELAY_S:
                 return None
             if (
                 runs_to_evacuate is None
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -55,10 +55,10 @@
         """Records the versions of a sampler from a listing or report."""
         models = self._scheduler.models_of(sampler_id)
         for model, version in versions.items():
-            models.saw(model, version)
+            models.record_version(model, version)
             self._metrics.sampler_version.labels(sampler_id, model).set(models.versions[model])
 
-    def forget_sampler(self, sampler_id: str) -> None:
+    def remove_sampler(self, sampler_id: str) -> None:
         """Removes the metrics of a sampler that is leaving or gone."""
         for model in self._scheduler.models_of(sampler_id).versions:
             self._metrics.sampler_version.remove(sampler_id, model)
--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -16,7 +16,7 @@
     segments_add_up,
 )
 from stileloom.errors import ErrorKind
-from stileloom.jobs.book import JobBook
+from stileloom.jobs.registry import JobRegistry
 from stileloom.ledger.commands import (
     AcknowledgeDeliveries,
     ChangeVoters,
@@ -131,7 +131,7 @@
     keys: dict[str, KeyClaim] = msgspec.field(default_factory=dict)
     voters: list[Voter] = msgspec.field(default_factory=list)
     configuration_floor: int = 0
-    job_book: JobBook = msgspec.field(default_factory=JobBook)
+    job_book: JobRegistry = msgspec.field(default_factory=JobRegistry)
     retired_nodes: set[str] = msgspec.field(default_factory=set)
     """Nodes that are being retired or have been; they do not become voters again."""
     order_windows: int = 0
@@ -187,33 +187,33 @@
     def _apply_to_jobs(
         self, command: SubmitJob | RecordResults | SaveProgress | EndJob | ForgetJob
     ) -> CommandResult:
-        book = self.job_book
+        registry = self.job_book
         if isinstance(command, SubmitJob):
-            return Done(duplicate=not book.submit(command.submission))
+            return Done(duplicate=not registry.submit(command.submission))
         if isinstance(command, RecordResults):
-            book.record(command.job_id, command.finished)
+            registry.record(command.job_id, command.finished)
             return Done()
         if isinstance(command, SaveProgress):
-            book.save(command.job_id, command.items)
+            registry.save(command.job_id, command.items)
             return Done()
         if isinstance(command, ForgetJob):
-            book.forget(command.job_id)
+            registry.forget(command.job_id)
             return Done()
-        if not book.end(command.job_id):
+        if not registry.end(command.job_id):
             return Refused(ErrorKind.UNKNOWN_JOB, f"unknown job {command.job_id!r}")
         return Done()
 
     def _apply_to_quarantine(
         self, command: RecordSamplerEnds | ClearSuspects | StartTrial | ForgetSuspects
     ) -> CommandResult:
-        book = self.quarantine
+        registry = self.quarantine
         if isinstance(command, RecordSamplerEnds):
-            book.record(command.ends, command.at_s)
+            registry.record(command.ends, command.at_s)
         elif isinstance(command, ClearSuspects):
-            book.clear(command.identities)
+            registry.clear(command.identities)
         elif isinstance(command, ForgetSuspects):
-            book.forget_expired(command.at_s)
-        elif not book.start_trial(command.identity, command.at_s):
+            registry.forget_expired(command.at_s)
+        elif not registry.start_trial(command.identity, command.at_s):
             return Refused(ErrorKind.QUARANTINED, "the next trial of this request is not due yet")
         return Done()
 
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -91,7 +91,7 @@
         jobs: JobClient,
         log: EventLog,
         metrics: ProxyMetrics,
-        keeps_results: bool = True,
+        cache_results: bool = True,
     ) -> None:
         self.draining = False
         """Whether responses carry `Connection: close`."""
@@ -104,7 +104,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._jobs = jobs
-        self._results = ResultReader(jobs, ResultCache(), keeps_results)
+        self._results = ResultReader(jobs, ResultCache(), cache_results)
         self._log = log
         self._metrics = metrics
         self._open = 0
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -370,7 +370,7 @@
     Mutant(
         "an item is listed twice",
         "positions (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "if item.item_id not in known or item.item_id in job.listed:",
         "if item.item_id not in known:",
         "tests/test_routes.py",
@@ -378,7 +378,7 @@
     Mutant(
         "saved events of an earlier leader stay beside a later one's",
         "whole texts (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "saved.parts[item.first_part :] = item.parts",
         "saved.parts += item.parts",
         "tests/test_routes.py",
@@ -509,7 +509,7 @@
     Mutant(
         "a new leader runs an item again whose text was whole",
         "scored items",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "            saved.whole = item.whole",
         "            saved.whole = False",
         f"{REWARDS}::RewardTest::"
--- a/tests/test_job_book.py
+++ b/tests/test_job_book.py
@@ -15,8 +15,8 @@
     JobSubmission,
     RewardCall,
 )
-from stileloom.jobs.book import JobBook
 from stileloom.jobs.intake import reusable_results
+from stileloom.jobs.registry import JobRegistry
 
 JOBS = ["j0", "j1"]
 ITEMS = ["i0", "i1", "i2"]
@@ -30,12 +30,12 @@
     return [f"{item_id}-{number}" for number in range(4)]
 
 
-class JobBookMachine(RuleBasedStateMachine):
+class JobRegistryMachine(RuleBasedStateMachine):
     """Commands of successive leaders, each of which may repeat those of another."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.registry = JobBook()
+        self.registry = JobRegistry()
         self.listed: dict[str, list[tuple[str, str, str]]] = {}
         self.saved: dict[tuple[str, str], int] = {}
 
@@ -125,12 +125,12 @@
                 assert rewards[found.item_id] in sources
 
 
-class JobBookTest(testtools.TestCase):
+class JobRegistryTest(testtools.TestCase):
     """Runs the state machine."""
 
     def test_the_registry_matches_its_model(self) -> None:
         run_state_machine_as_test(
-            JobBookMachine,
+            JobRegistryMachine,
             settings=settings(
                 max_examples=EXAMPLES, stateful_step_count=STEPS, deadline=None, derandomize=True
             ),
--- a/tests/test_job_client.py
+++ b/tests/test_job_client.py
@@ -35,15 +35,15 @@
         gone, listed, new = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
         nodes = LedgerNodes([gone, listed])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
-        nodes.learn([])
+        nodes.update_addresses([])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
-        nodes.learn([listed, new])
+        nodes.update_addresses([listed, new])
         self.assertEqual({listed, new}, self.targets(nodes, 6))
 
     def test_seeds_are_used_again_after_all_listed_nodes_failed(self) -> None:
         seed, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([seed])
-        nodes.learn([listed])
+        nodes.update_addresses([listed])
         self.assertEqual({listed}, self.targets(nodes, 3))
         nodes.record_failure()
         self.assertEqual({seed, listed}, self.targets(nodes, 4))
@@ -54,7 +54,7 @@
         leader, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([leader])
         nodes.leader = leader
-        nodes.learn([listed])
+        nodes.update_addresses([listed])
         self.assertEqual({leader}, self.targets(nodes, 3))
 
 
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -10,8 +10,8 @@
 
 from stileloom.api.jobs import ItemResult, ItemState, ResultPage
 from stileloom.errors import ErrorKind, StileloomError
-from stileloom.jobs.book import PAGE_BYTES, result_size
 from stileloom.jobs.messages import JobReply, JobRequest, NoSuchJob, ReadResultsCall, ResultsRead
+from stileloom.jobs.registry import PAGE_BYTES, result_size
 from stileloom.jobs.result_cache import ResultCache
 from stileloom.jobs.result_reader import ResultReader
 from stileloom.transport.calls import FrameReader, encode_frame
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -24,8 +24,8 @@
 )
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.events import LogEvent
-from stileloom.jobs.book import JobBook
 from stileloom.jobs.intake import reusable_results
+from stileloom.jobs.registry import JobRegistry
 from stileloom.jobs.reward_window import (
     INITIAL_BACKOFF_S,
     INITIAL_LIMIT,
@@ -340,23 +340,23 @@
         return JobSubmission(job_id, "h", "/p", 0, "m", 1, 1, [item])
 
     def test_a_result_combines_a_saved_text_and_a_later_score(self) -> None:
-        book = JobBook()
-        book.submit(self.submission("j"))
-        book.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
-        self.assertTrue(book.jobs["j"].progress["i1"].whole)
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "stamp")])
-        (result,) = book.jobs["j"].results
+        registry = JobRegistry()
+        registry.submit(self.submission("j"))
+        registry.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
+        self.assertTrue(registry.jobs["j"].progress["i1"].whole)
+        registry.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "stamp")])
+        (result,) = registry.jobs["j"].results
         self.assertEqual(("a\nb", [3], "stamp"), (result.text, result.versions, result.score))
 
     def test_a_result_is_reused_only_for_the_same_reward_call(self) -> None:
-        book = JobBook()
-        book.submit(self.submission("j"))
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "stamp")])
-        book.submit(self.submission("same"))
-        book.submit(self.submission("other", reward_id="s2"))
-        (found,) = reusable_results(book, book.jobs["same"], False)
+        registry = JobRegistry()
+        registry.submit(self.submission("j"))
+        registry.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "stamp")])
+        registry.submit(self.submission("same"))
+        registry.submit(self.submission("other", reward_id="s2"))
+        (found,) = reusable_results(registry, registry.jobs["same"], False)
         self.assertEqual("stamp", found.score)
-        self.assertEqual([], reusable_results(book, book.jobs["other"], False))
+        self.assertEqual([], reusable_results(registry, registry.jobs["other"], False))
 
     def test_an_item_that_would_split_a_request_head_is_refused(self) -> None:
         for item in (
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -18,7 +18,7 @@
 )
 from stileloom.api.routes import Backend, Route, RouteConfiguration, RouteKind, Service
 from stileloom.api.sampler_directory import SamplerEntry
-from stileloom.jobs.book import PAGE_BYTES, JobBook
+from stileloom.jobs.registry import PAGE_BYTES, JobRegistry
 from stileloom.proxy.attempt_plan import AttemptPlan
 from stileloom.proxy.route_table import RouteTable
 from stileloom.proxy.sampler_table import SUSPECT_S, SamplerChange, SamplerTable
@@ -160,33 +160,33 @@
     """Result pages."""
 
     def test_a_page_has_at_least_one_result_and_respects_its_limit(self) -> None:
-        book = JobBook()
+        registry = JobRegistry()
         items = [JobItem(f"i{n}", "/p", {}, b"", "") for n in range(3)]
-        book.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
+        registry.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
         text = "x" * (PAGE_BYTES // 3)
         finished = [FinishedItem(i.item_id, ItemState.SUCCEEDED, 0, [text], [1]) for i in items]
-        book.record("j", finished)
-        first = book.jobs["j"].page(0)
+        registry.record("j", finished)
+        first = registry.jobs["j"].page(0)
         self.assertEqual((3, 1, 1), (first.total_items, first.next_position, len(first.results)))
-        self.assertEqual(3, book.jobs["j"].page(2).next_position)
-        self.assertEqual([], book.jobs["j"].page(3).results)
+        self.assertEqual(3, registry.jobs["j"].page(2).next_position)
+        self.assertEqual([], registry.jobs["j"].page(3).results)
 
 
 class SavedEventsTest(testtools.TestCase):
     """Two leaders save events of one item, and the later one lacks some of the earlier one's."""
 
     def test_events_of_the_later_leader_replace_unknown_ones(self) -> None:
-        book = JobBook()
+        registry = JobRegistry()
         items = [JobItem("a", "/p", {}, b"", "")]
-        book.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
-        book.save("j", [ItemProgress("a", 0, ["1", "2", "3"], 3, [1])])
-        book.save("j", [ItemProgress("a", 1, ["two", "three", "four"], 4, [1, 2])])
-        book.record("j", [FinishedItem("a", ItemState.SUCCEEDED, 4, ["five"], [1, 2])])
-        (result,) = book.jobs["j"].results
+        registry.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
+        registry.save("j", [ItemProgress("a", 0, ["1", "2", "3"], 3, [1])])
+        registry.save("j", [ItemProgress("a", 1, ["two", "three", "four"], 4, [1, 2])])
+        registry.record("j", [FinishedItem("a", ItemState.SUCCEEDED, 4, ["five"], [1, 2])])
+        (result,) = registry.jobs["j"].results
         self.assertEqual("1\ntwo\nthree\nfour\nfive", result.text)
 
 
-class JobBookMachine(stateful.RuleBasedStateMachine):
+class JobRegistryMachine(stateful.RuleBasedStateMachine):
     """Model-based test of one job against an append-only list.
 
     Leaders change: each saves and finishes items from the events it knows.
@@ -196,7 +196,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = JobBook()
+        self.registry = JobRegistry()
         items = [JobItem(name, "/p", {}, b"", "") for name in self.ITEMS]
         self.submission = JobSubmission("j", "h", "/p", 0, "m", 0, 1, items)
         self.expected: list[ItemResult] = []
@@ -206,9 +206,9 @@
     @stateful.rule()
     def submit(self) -> None:
         """Submitting is idempotent."""
-        self.book.submit(self.submission)
+        self.registry.submit(self.submission)
 
-    @stateful.precondition(lambda self: "j" in self.book.jobs)
+    @stateful.precondition(lambda self: "j" in self.registry.jobs)
     @stateful.rule(
         name=strategies.sampled_from(ITEMS),
         keep=strategies.integers(0, 4),
@@ -221,9 +221,9 @@
         known = self.saved.get(name, [])[:keep]
         self.saved[name] = known + parts
         last = len(known) + len(parts)
-        self.book.save("j", [ItemProgress(name, len(known), parts, last, [1])])
+        self.registry.save("j", [ItemProgress(name, len(known), parts, last, [1])])
 
-    @stateful.precondition(lambda self: "j" in self.book.jobs)
+    @stateful.precondition(lambda self: "j" in self.registry.jobs)
     @stateful.rule(
         name=strategies.sampled_from([*ITEMS, "foreign"]),
         keep=strategies.integers(0, 4),
@@ -233,30 +233,30 @@
     def finish(self, name: str, keep: int, parts: list[str], state: ItemState) -> None:
         """A leader lists a result; only the first result of an item counts."""
         known = self.saved.get(name, [])[:keep]
-        self.book.record("j", [FinishedItem(name, state, len(known), parts, [1])])
+        self.registry.record("j", [FinishedItem(name, state, len(known), parts, [1])])
         listed = any(result.item_id == name for result in self.expected)
         if name in self.ITEMS and not listed:
             text = "\n".join(known + parts) if state is ItemState.SUCCEEDED else ""
             self.expected.append(ItemResult(name, state, text, [1]))
 
-    @stateful.precondition(lambda self: "j" in self.book.jobs)
+    @stateful.precondition(lambda self: "j" in self.registry.jobs)
     @stateful.rule()
     def end(self) -> None:
         """Ending a job is final."""
-        self.ended = self.book.end("j")
+        self.ended = self.registry.end("j")
 
     @stateful.invariant()
     def positions_never_change(self) -> None:
         """Listed results keep their position and content."""
-        if "j" not in self.book.jobs:
+        if "j" not in self.registry.jobs:
             return
-        job = self.book.jobs["j"]
+        job = self.registry.jobs["j"]
         assert job.results == self.expected
         assert job.ended == self.ended
         assert job.is_open == (not self.ended and len(self.expected) < len(self.ITEMS))
 
 
-JobBookTest = JobBookMachine.TestCase
-JobBookTest.settings = hypothesis.settings(
+JobRegistryTest = JobRegistryMachine.TestCase
+JobRegistryTest.settings = hypothesis.settings(
     max_examples=150, stateful_step_count=25, deadline=None, derandomize=True
 )
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -254,16 +254,16 @@
             assert leader._leadership is not None
             runner = leader._leadership.runner
             # No step of the leader takes the run for silent or starts the item by itself.
-            patience = mock.patch("stileloom.jobs.scheduler.SILENCE_S", 10 * GIVE_UP_S)
+            patience = mock.patch("stileloom.jobs.scheduler.EVENT_TIMEOUT_S", 10 * GIVE_UP_S)
             starts = mock.patch.object(runner.scheduler, "plan_starts", return_value=[])
             with patience, starts:
                 await cluster.submit("job", ["i1"])
                 await cluster.until(lambda: len(runner.scheduler.items) == 1)
                 (item,) = runner.scheduler.items.values()
                 now = steady_time()
-                runner._begin([runner.scheduler.start_at(item, "draft-1", now)])
+                runner._start_runs([runner.scheduler.start_on(item, "draft-1", now)])
                 runner._stop_run(item, "moved")
-                runner._begin([runner.scheduler.start_at(item, "draft-2", now)])
+                runner._start_runs([runner.scheduler.start_on(item, "draft-2", now)])
                 self.check_texts(await cluster.results("job", 1))
             runs = [len(cluster.samplers[name].runs) for name in ("draft-1", "draft-2")]
             self.assertEqual([0, 1], runs)
@@ -278,7 +278,7 @@
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             # It fails fast, and looks like the faster one of the two.
-            leader._leadership.runner.scheduler.pace("draft-1").interval_s = 1e-6
+            leader._leadership.runner.scheduler.stats("draft-1").interval_s = 1e-6
             items = [f"i{number}" for number in range(3)]
             await cluster.submit("job", items)
             self.check_texts(await cluster.results("job", 3))
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -14,7 +14,7 @@
 from stileloom.jobs.open_items import ItemSize
 from stileloom.jobs.order_window import OrderWindow
 from stileloom.jobs.scheduler import ItemScheduler
-from stileloom.jobs.version_planner import SETTLE_S, VersionPlanner
+from stileloom.jobs.version_planner import LOAD_DELAY_S, VersionPlanner
 from stileloom.ledger import LedgerReplica, fresh_ledger
 from stileloom.ledger.commands import StartEpoch
 from stileloom.ledger.messages import Entry, HardState
@@ -24,7 +24,7 @@
 from stileloom.switches import Switches
 from stileloom.transport.compression import PLAIN, pack
 from tests.ablation import BASELINE, Play, Played, report
-from tests.test_item_scheduler import SERVICE, Desk, entry, record
+from tests.test_item_scheduler import SERVICE, SchedulerFixture, entry, record
 from tests.test_ledger import VOTERS, FakeLedger
 
 SETTINGS = 'node_id = "n"\nzone = "z"\nhost = "10.0.0.1"\nstore = "10.0.0.2:1"\n'
@@ -53,69 +53,69 @@
 class SchedulerSwitchTest(testtools.TestCase):
     """Items and loads."""
 
-    def desk(self, **off: bool) -> Desk:
+    def fixture(self, **off: bool) -> SchedulerFixture:
         """A fast and a slow sampler, with some mechanisms off."""
-        desk = Desk(entry("fast", slots=4), entry("slow", slots=4))
+        fixture = SchedulerFixture(entry("fast", slots=4), entry("slow", slots=4))
         switches = msgspec.structs.replace(Switches(), **off)
-        desk.scheduler = ItemScheduler(desk.samplers, {"fast": 0.04, "slow": 0.05}, switches)
-        desk.planner = VersionPlanner(desk.scheduler, desk.samplers, switches)
+        fixture.scheduler = ItemScheduler(fixture.samplers, {"fast": 0.04, "slow": 0.05}, switches)
+        fixture.planner = VersionPlanner(fixture.scheduler, fixture.samplers, switches)
         for sampler in ("fast", "slow"):
-            desk.scheduler.models_of(sampler).saw("m", 1)
-        return desk
+            fixture.scheduler.models_of(sampler).record_version("m", 1)
+        return fixture
 
-    def placed(self, desk: Desk, items: int) -> list[str]:
+    def placed(self, fixture: SchedulerFixture, items: int) -> list[str]:
         """Where items of falling length start."""
         sizes = {f"j-i{n}": ItemSize(9000.0 - n) for n in range(items)}
-        desk.adopt(record("j", items), sizes=sizes)
-        placed = desk.starts()
+        fixture.adopt(record("j", items), sizes=sizes)
+        placed = fixture.starts()
         return [placed[f"j-i{n}"] for n in range(items)]
 
     def test_fastest_first(self) -> None:
-        self.assertEqual(["fast"] * 3, self.placed(self.desk(), 3))
-        self.assertIn("slow", self.placed(self.desk(fastest_first=False), 3))
+        self.assertEqual(["fast"] * 3, self.placed(self.fixture(), 3))
+        self.assertIn("slow", self.placed(self.fixture(fastest_first=False), 3))
 
     def test_group_bonus(self) -> None:
         for on, cost_is_less in ((True, True), (False, False)):
-            desk = self.desk(group_bonus=on)
-            desk.adopt(record("j", 1))
-            (item,) = desk.scheduler.items.values()
-            belief = desk.samplers.get("fast")
+            fixture = self.fixture(group_bonus=on)
+            fixture.adopt(record("j", 1))
+            (item,) = fixture.scheduler.items.values()
+            belief = fixture.samplers.get("fast")
             assert belief is not None
-            before = desk.scheduler._cost(item, belief)
-            desk.scheduler.pace("fast").groups.add(item.item.group)
-            self.assertEqual(cost_is_less, desk.scheduler._cost(item, belief) < before)
+            before = fixture.scheduler._cost(item, belief)
+            fixture.scheduler.stats("fast").groups.add(item.item.group)
+            self.assertEqual(cost_is_less, fixture.scheduler._cost(item, belief) < before)
 
     def test_kept_texts(self) -> None:
         for on in (True, False):
-            desk = self.desk(kept_texts=on)
-            desk.adopt(record("j", 1))
-            (item,) = desk.scheduler.items.values()
+            fixture = self.fixture(kept_texts=on)
+            fixture.adopt(record("j", 1))
+            (item,) = fixture.scheduler.items.values()
             item.partial.add(1, "x", 1)
-            desk.scheduler.drop_job("j")
-            self.assertEqual(on, bool(desk.scheduler._kept))
+            fixture.scheduler.remove_job("j")
+            self.assertEqual(on, bool(fixture.scheduler._retained_texts))
 
     def test_sampler_shares(self) -> None:
         for on in (True, False):
-            desk = self.desk(sampler_shares=on)
-            self.assertEqual(on, bool(desk.scheduler.share_out(SERVICE, ["m", "other"])))
+            fixture = self.fixture(sampler_shares=on)
+            self.assertEqual(on, bool(fixture.scheduler.assign_models(SERVICE, ["m", "other"])))
 
     def test_loads(self) -> None:
-        late = SETTLE_S + 1
+        late = LOAD_DELAY_S + 1
         for name, expected in (("parallel_loads", 1), ("evacuation", 2)):
-            desk = self.desk(**{name: False})
-            desk.planner.named("m", 2, 0.0)
-            self.assertEqual(expected, len(desk.loads(late)), name)
+            fixture = self.fixture(**{name: False})
+            fixture.planner.set_target("m", 2, 0.0)
+            self.assertEqual(expected, len(fixture.loads(late)), name)
 
     def test_without_evacuation_runs_stay_while_work_needs_the_load(self) -> None:
         for on in (True, False):
-            desk = self.desk(evacuation=on)
-            self.placed(desk, 1)
-            desk.samplers.put(entry("new", slots=4, versions={"m": 2}))
-            desk.scheduler.models_of("new").saw("m", 2)
-            desk.planner.named("m", 2, 0.0)
+            fixture = self.fixture(evacuation=on)
+            self.placed(fixture, 1)
+            fixture.samplers.put(entry("new", slots=4, versions={"m": 2}))
+            fixture.scheduler.models_of("new").record_version("m", 2)
+            fixture.planner.set_target("m", 2, 0.0)
             job = record("next", 1, min_version=2)
-            desk.adopt(job)
-            loads = {row[0]: row for row in desk.loads(SETTLE_S + 1)}
+            fixture.adopt(job)
+            loads = {row[0]: row for row in fixture.loads(LOAD_DELAY_S + 1)}
             strategy = LoadStrategy.WAIT if on else LoadStrategy.RETAIN
             self.assertEqual((strategy, int(on)), loads["fast"][2:])
 
@@ -135,7 +135,7 @@
 
     def test_order_windows(self) -> None:
         ledger = FakeLedger()
-        window = OrderWindow("a", ledger, needed=False)
+        window = OrderWindow("a", ledger, required=False)
         self.assertTrue(window.is_open())
         ledger.acts = False
         self.assertFalse(window.is_open())
