--- a/stileloom/cli/quarantine.py
+++ b/stileloom/cli/quarantine.py
@@ -73,8 +73,10 @@
         return "nothing is held against any request"
     rows = []
     for summary in listing.suspects:
-        state = f"refused, one run in {summary.trial_in_s:.0f} s" if summary.held else "watched"
-        rows.append(f"{summary.identity}  {state}  ended: {', '.join(summary.ends)}")
+        state = (
+            f"refused, one run in {summary.trial_in_s:.0f} s" if summary.quarantined else "watched"
+        )
+        rows.append(f"{summary.identity}  {state}  ended: {', '.join(summary.crashes)}")
     return "\n".join(rows)
 
 
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -19,7 +19,7 @@
 from stileloom.ledger.commands import RetireNode
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.quarantine.authority import QuarantineAuthority
+from stileloom.quarantine.authority import QuarantineService
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.service_settings import ServiceSettings
 
@@ -42,7 +42,7 @@
         directory: Directory,
         forwarder: Forwarder,
         guard: QuarantineGuard,
-        quarantine: QuarantineAuthority,
+        quarantine: QuarantineService,
         log: EventLog,
         metrics: JobMetrics,
         rng: random.Random,
@@ -70,7 +70,7 @@
         self._store = store
         self._dialect = dialect
         self._driver = driver
-        self._quarantine_authority = quarantine
+        self._quarantine_service = quarantine
         self._log = log
         self._removals: dict[str, bool] = {}
         """Nodes to be emptied, and whether the end was written."""
@@ -136,7 +136,7 @@
                     break
             with contextlib.suppress(StileloomError):
                 # Leadership was lost meanwhile: the next leader does it.
-                await self._quarantine_authority.forget_expired()
+                await self._quarantine_service.remove_expired()
 
     # Emptying of nodes.
 
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -35,10 +35,10 @@
 from stileloom.proxy.forwarder import Forwarder
 from stileloom.proxy.metrics import AttemptMetrics
 from stileloom.proxy.sampler_access import SamplerAccess
-from stileloom.quarantine.authority import QuarantineAuthority
-from stileloom.quarantine.book import QuarantineBook
+from stileloom.quarantine.authority import QuarantineService
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.quarantine.metrics import QuarantineMetrics
+from stileloom.quarantine.registry import QuarantineRegistry
 from stileloom.service_settings import ServiceSettings
 from stileloom.settings_file import split_address
 from stileloom.transport.cache_messages import ReadObjectsCall
@@ -78,9 +78,9 @@
             reader, dialect, settings.bounds, self._log, self._rng, process_metrics
         )
         attempt_metrics = AttemptMetrics(self._registry)
-        self._quarantine_authority = QuarantineAuthority(self, self._log)
+        self._quarantine_service = QuarantineService(self, self._log)
         self._guard = QuarantineGuard(
-            self._quarantine_authority,
+            self._quarantine_service,
             self._log,
             QuarantineMetrics(self._registry),
             attempt_metrics.connection_opened,
@@ -147,7 +147,7 @@
         )
         self._driver = driver
         self._service = JobService(
-            _CallsLedger(driver, settings.calls_port), self._quarantine_authority, self._log
+            _CallsLedger(driver, settings.calls_port), self._quarantine_service, self._log
         )
         self._calls = CallServer(self._answer, compress)
         await self._calls.start(settings.listen_host, settings.calls_port)
@@ -227,24 +227,24 @@
             self._voters_told = list(voters)
             names = [voter.node_id for voter in voters]
             self._log.emit(LogEvent.VOTERS_CHANGED, {"voters": names})
-        self._quarantine_authority.step()
+        self._quarantine_service.step()
         if self._leadership is not None:
             self._follow_quarantine()
             self._leadership.runner.step()
 
     def _follow_quarantine(self) -> None:
         """This node's own guard takes the list straight from the replica."""
-        book = self.quarantine()
-        if book.revision != self._guard.view.revision:
-            self._guard.learn(book.listing(time.time()))
+        registry = self.quarantine()
+        if registry.revision != self._guard.view.revision:
+            self._guard.apply_listing(registry.listing(time.time()))
 
     def may_act(self) -> bool:
         """Whether this node's replica leads."""
         return self._driver is not None and self._driver.may_act()
 
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineRegistry:
         """Requests under which samplers ended, as far as this replica knows."""
-        return self._driver.state.quarantine if self._driver is not None else QuarantineBook()
+        return self._driver.state.quarantine if self._driver is not None else QuarantineRegistry()
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command."""
@@ -261,7 +261,7 @@
             self._directory,
             self._forwarder,
             self._guard,
-            self._quarantine_authority,
+            self._quarantine_service,
             self._log,
             self._metrics,
             self._rng,
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -29,7 +29,7 @@
 from stileloom.ledger.commands import EndJob, Refused, SubmitJob
 from stileloom.ledger.state import LedgerState
 from stileloom.logging import EventLog
-from stileloom.quarantine.authority import QuarantineAuthority
+from stileloom.quarantine.authority import QuarantineService
 from stileloom.quarantine.messages import (
     QuarantineListed,
     QuarantineRequest,
@@ -56,9 +56,7 @@
 class JobService:
     """Handles job and quarantine calls of gateways."""
 
-    def __init__(
-        self, ledger: ServedLedger, quarantine: QuarantineAuthority, log: EventLog
-    ) -> None:
+    def __init__(self, ledger: ServedLedger, quarantine: QuarantineService, log: EventLog) -> None:
         self.runner: JobRunner | None = None
         """Set while this node is the leader."""
         self._ledger = ledger
@@ -80,17 +78,17 @@
         return await self._quarantine_call(request)
 
     async def _quarantine_call(self, request: QuarantineRequest) -> JobReply:
-        authority = self._quarantine
+        quarantine = self._quarantine
         try:
             if isinstance(request, ReportSuspectsCall):
-                return SuspectsReported(await authority.report(request.ends, request.answered))
+                return SuspectsReported(await quarantine.report(request.ends, request.answered))
             if isinstance(request, WatchQuarantineCall):
                 return QuarantineListed(
-                    await authority.watch(request.known_revision, request.wait_s)
+                    await quarantine.watch(request.known_revision, request.wait_s)
                 )
             if isinstance(request, StartTrialCall):
-                return TrialAnswered(await authority.start_trial(request.identity))
-            return SuspectReleased(await authority.release(request.identity))
+                return TrialAnswered(await quarantine.start_trial(request.identity))
+            return SuspectReleased(await quarantine.release(request.identity))
         except StileloomError:
             # Leadership was lost and the caller retries, which is safe: if a granted trial's answer
             # was lost, the retry is rejected and the trial does not run.
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -11,9 +11,9 @@
 from stileloom.jobs.open_items import ItemKey, OpenItem
 from stileloom.jobs.scheduler import ItemScheduler
 from stileloom.logging import EventLog
-from stileloom.quarantine.book import LISTED_FROM
-from stileloom.quarantine.guard import BEGAN_LATELY_S, QuarantineGuard
+from stileloom.quarantine.guard import CRASH_ATTRIBUTION_WINDOW_S, QuarantineGuard
 from stileloom.quarantine.identity import identity_of
+from stileloom.quarantine.registry import MIN_PUBLISHED_CRASHES
 
 ISOLATION_RETRY_S = 0.1
 """Delay before a suspect is retried whose sampler runs another suspect."""
@@ -47,13 +47,13 @@
         repeatedly affect the other items of its step, and all of them would be quarantined.
         """
         view = self._guard.view
-        if view.empty:
+        if view.has_no_suspects:
             return True
         identity = self._identity(open_item)
-        if view.is_held(identity):
+        if view.is_quarantined(identity):
             self._postpone_quarantined(open_item, identity)
             return False
-        suspected = len(view.ends_under(identity)) >= LISTED_FROM
+        suspected = len(view.crashed_samplers(identity)) >= MIN_PUBLISHED_CRASHES
         if suspected and not self._reserve_sampler(open_item, sampler_id):
             self._postpone(open_item, ISOLATION_RETRY_S, avoid=True)
             return False
@@ -63,13 +63,13 @@
         self, open_item: OpenItem, entry: SamplerEntry, run_duration_s: float
     ) -> None:
         """Checks whether the sampler crashed shortly after the run of the item started."""
-        if run_duration_s <= BEGAN_LATELY_S:
+        if run_duration_s <= CRASH_ATTRIBUTION_WINDOW_S:
             self._tasks.spawn(self._check_for_crash(open_item, entry, run_duration_s))
 
     def on_complete_text(self, open_item: OpenItem) -> None:
         """Reports a complete text, which clears the item of suspicion."""
-        if not self._guard.view.empty:
-            self._guard.answered(self._identity(open_item), suspected=False)
+        if not self._guard.view.has_no_suspects:
+            self._guard.record_success(self._identity(open_item), suspected=False)
 
     def remove_sampler(self, sampler_id: str) -> None:
         """Releases the sampler's suspect."""
@@ -84,7 +84,7 @@
         self, open_item: OpenItem, entry: SamplerEntry, run_duration_s: float
     ) -> None:
         identity = self._identity(open_item)
-        await self._guard.judge(open_item.item.item_id, identity, entry, run_duration_s)
+        await self._guard.probe_sampler(open_item.item.item_id, identity, entry, run_duration_s)
 
     def _reserve_sampler(self, suspect: OpenItem, sampler_id: str) -> bool:
         """Reserves a sampler for a suspect unless another one runs there."""
--- a/stileloom/ledger/commands.py
+++ b/stileloom/ledger/commands.py
@@ -10,7 +10,7 @@
 from stileloom.api.jobs import FinishedItem, ItemProgress, JobSubmission
 from stileloom.api.samples import Delivery, Prompt, Sample
 from stileloom.errors import ErrorKind
-from stileloom.quarantine.messages import SamplerEnd
+from stileloom.quarantine.messages import SamplerCrash
 
 
 class StartEpoch(msgspec.Struct, frozen=True, tag=True):
@@ -155,7 +155,7 @@
 class RecordSamplerEnds(msgspec.Struct, frozen=True, tag=True):
     """Records samplers that crashed shortly after these requests started there."""
 
-    ends: list[SamplerEnd]
+    ends: list[SamplerCrash]
     at_s: float
     """Wall-clock time at the leader."""
 
--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -50,7 +50,7 @@
     SubmitPrompts,
     Voter,
 )
-from stileloom.quarantine.book import QuarantineBook
+from stileloom.quarantine.registry import QuarantineRegistry
 
 KEY_RETENTION_S = 3600.0
 MAX_REMEMBERED_BATCHES = 256
@@ -139,7 +139,7 @@
     last_order_holder: str = ""
     """The node that opened the newest order window."""
     last_leader: str = ""
-    quarantine: QuarantineBook = msgspec.field(default_factory=QuarantineBook)
+    quarantine: QuarantineRegistry = msgspec.field(default_factory=QuarantineRegistry)
     """Requests during which samplers crashed."""
 
     def apply(self, command: Command) -> CommandResult:
@@ -212,7 +212,7 @@
         elif isinstance(command, ClearSuspects):
             registry.clear(command.identities)
         elif isinstance(command, ForgetSuspects):
-            registry.forget_expired(command.at_s)
+            registry.remove_expired(command.at_s)
         elif not registry.start_trial(command.identity, command.at_s):
             return Refused(ErrorKind.QUARANTINED, "the next trial of this request is not due yet")
         return Done()
--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -20,8 +20,8 @@
     StartTrial,
 )
 from stileloom.logging import EventLog
-from stileloom.quarantine.book import QuarantineBook
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
+from stileloom.quarantine.registry import QuarantineRegistry
 
 
 class ReplicatedRegistry(Protocol):
@@ -30,14 +30,14 @@
     def may_act(self) -> bool:
         """Whether this replica is the leader and holds its lease."""
 
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineRegistry:
         """The registry as applied by this replica."""
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
 
 
-class QuarantineAuthority:
+class QuarantineService:
     """Implements `QuarantineLedger` on the local replica."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self._notified_revision = -1
         self._logged_quarantined: set[str] = set()
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records crashes and successful responses; returns the revision that covers them."""
         if crashes:
             await self._propose(RecordSamplerEnds(crashes, self._wall_clock()))
@@ -89,7 +89,7 @@
             self._waiters.discard(waiter)
         return self._leader_registry().listing(self._wall_clock())
 
-    async def forget_expired(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes expired suspects."""
         at_s = self._wall_clock()
         if self._leader_registry().expired(at_s):
@@ -104,7 +104,9 @@
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
-        quarantined = {identity for identity in registry.suspects if registry.is_held(identity)}
+        quarantined = {
+            identity for identity in registry.suspects if registry.is_quarantined(identity)
+        }
         if self._ledger.may_act():
             for identity in quarantined - self._logged_quarantined:
                 crashes = sorted(registry.suspects[identity].ends)
@@ -116,7 +118,7 @@
                 )
         self._logged_quarantined = quarantined
 
-    def _leader_registry(self) -> QuarantineBook:
+    def _leader_registry(self) -> QuarantineRegistry:
         """The leader's registry. Raises `StileloomError` on any other replica."""
         if not self._ledger.may_act():
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "this replica is not the leader")
--- a/stileloom/quarantine/guard.py
+++ b/stileloom/quarantine/guard.py
@@ -18,13 +18,13 @@
 from stileloom.events import LogEvent
 from stileloom.logging import EventLog
 from stileloom.proxy.sampler_table import SamplerTable
-from stileloom.quarantine.book import ENDS_ALONE
 from stileloom.quarantine.end_probe import ProbeResult, probe_listener
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
 from stileloom.quarantine.metrics import QuarantineMetrics
+from stileloom.quarantine.registry import CRASH_THRESHOLD
 from stileloom.quarantine.view import QuarantineView
 
-BEGAN_LATELY_S = 1.5
+CRASH_ATTRIBUTION_WINDOW_S = 1.5
 """A crash is attributed only to requests that started within this time before it. Poison requests
 crash a sampler within about 0.1 s, plus time spent in its queue."""
 PROBE_WAIT_S = 0.03
@@ -42,7 +42,7 @@
 class QuarantineLedger(Protocol):
     """The ledger as seen by a guard. All calls raise `StileloomError` if no leader replies."""
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records crashes and successful responses; returns the revision that covers them."""
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
@@ -84,15 +84,15 @@
         An admitted request has at least one attempt, also if others share all of its crashes.
         """
         at_least = 0 if self._local_crashes else 1
-        return at_least if self._trial else max(at_least, ENDS_ALONE - self._crash_count())
+        return at_least if self._trial else max(at_least, CRASH_THRESHOLD - self._crash_count())
 
     def _crash_count(self) -> int:
-        if self._guard.view.empty and not self._local_crashes:
+        if self._guard.view.has_no_suspects and not self._local_crashes:
             return 0
         return len(self._crashed_samplers())
 
     def _crashed_samplers(self) -> set[str]:
-        return self._local_crashes | self._guard.view.ends_under(self.identity)
+        return self._local_crashes | self._guard.view.crashed_samplers(self.identity)
 
     def leaves_healthy_sampler(self, samplers: SamplerTable, service: str) -> bool:
         """Whether a healthy sampler of the service remains if the request crashes the next one.
@@ -107,9 +107,9 @@
     async def attempt_failed(self, entry: SamplerEntry, began_at: float) -> None:
         """Handles a failed attempt: probes the sampler and records a crash."""
         ran_s = steady_time() - began_at
-        if ran_s > BEGAN_LATELY_S:
+        if ran_s > CRASH_ATTRIBUTION_WINDOW_S:
             return
-        probing = self._guard.judge(self._request_id, self.identity, entry, ran_s)
+        probing = self._guard.probe_sampler(self._request_id, self.identity, entry, ran_s)
         task = asyncio.get_running_loop().create_task(probing)
         task.add_done_callback(lambda done: self._record_probe(done, entry))
         await asyncio.wait((task,), timeout=PROBE_WAIT_S)
@@ -125,7 +125,7 @@
 
     def succeeded(self) -> None:
         """Clears the request after a successful response."""
-        self._guard.answered(self.identity, suspected=self.suspected)
+        self._guard.record_success(self.identity, suspected=self.suspected)
 
 
 class QuarantineGuard:
@@ -144,7 +144,7 @@
         self._metrics = metrics
         self._on_probe = on_probe
         self._tasks = BackgroundTasks(log)
-        self._unreported_crashes: list[SamplerEnd] = []
+        self._unreported_crashes: list[SamplerCrash] = []
         self._unreported_successes: list[str] = []
         self._reporting = False
         self._stopped = False
@@ -162,7 +162,7 @@
     async def admit(self, request_id: str, identity_of: Callable[[], str]) -> Permit:
         """Admits a request. Raises `StileloomError` (QUARANTINED) at once if it is quarantined."""
         permit = Permit(self, request_id, identity_of, trial=False)
-        if self.view.empty or not self.view.is_held(permit.identity):
+        if self.view.has_no_suspects or not self.view.is_quarantined(permit.identity):
             return permit
         identity = permit.identity
         trial_in_s = self.view.trial_in_s(identity, steady_time())
@@ -173,7 +173,7 @@
     def refusal(self, identity: str) -> StileloomError:
         """The error for a quarantined request, with the time of the next trial as Retry-After."""
         self._metrics.refused.inc()
-        crashed = sorted(self.view.ends_under(identity))
+        crashed = sorted(self.view.crashed_samplers(identity))
         trial_in_s = self.view.trial_in_s(identity, steady_time())
         detail = f"identity {identity}: samplers {', '.join(crashed)} crashed soon after its start"
         retry_after_s = round(trial_in_s) if 0.0 < trial_in_s < float("inf") else None
@@ -192,7 +192,7 @@
         )
         return granted
 
-    async def judge(
+    async def probe_sampler(
         self, request_id: str, identity: str, entry: SamplerEntry, ran_s: float
     ) -> bool:
         """Probes a sampler whose connection broke; if it crashed, reports that and returns True."""
@@ -208,7 +208,7 @@
         self._log.emit(LogEvent.SAMPLER_PROBED, fields)
         if result is not ProbeResult.REFUSED:
             return False
-        crash = SamplerEnd(identity, entry.incarnation)
+        crash = SamplerCrash(identity, entry.incarnation)
         self.view.record_crash(crash)
         self._unreported_crashes.append(crash)
         self._schedule_report()
@@ -219,7 +219,7 @@
         fields: dict[str, object] = {"request": request_id, "error": repr(error)}
         self._log.emit(LogEvent.INTERNAL_FAULT, fields)
 
-    def answered(self, identity: str, suspected: bool) -> None:
+    def record_success(self, identity: str, suspected: bool) -> None:
         """Records a successful response; reports it if the request was a suspect."""
         known = self.view.record_success(identity, steady_time())
         if known or suspected:
@@ -266,9 +266,9 @@
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if listing is not None:
-                self.learn(listing)
+                self.apply_listing(listing)
 
-    def learn(self, listing: QuarantineListing) -> None:
+    def apply_listing(self, listing: QuarantineListing) -> None:
         """Applies a listing; clears quarantined requests that recently succeeded at this node."""
         for identity in self.view.apply_listing(listing, steady_time()):
             self._report_success(identity)
@@ -276,7 +276,7 @@
             LogEvent.QUARANTINE_LEARNED,
             {
                 "revision": listing.revision,
-                "held": [item.identity for item in listing.suspects if item.held][:20],
+                "held": [item.identity for item in listing.suspects if item.quarantined][:20],
                 "suspects": len(listing.suspects),
             },
         )
--- a/stileloom/quarantine/messages.py
+++ b/stileloom/quarantine/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class SamplerEnd(msgspec.Struct, frozen=True, array_like=True):
+class SamplerCrash(msgspec.Struct, frozen=True, array_like=True):
     """A sampler crashed soon after it started a request."""
 
     identity: str
@@ -17,9 +17,9 @@
     """A request under which several samplers crashed."""
 
     identity: str
-    ends: list[str]
+    crashes: list[str]
     """Incarnations that crashed."""
-    held: bool
+    quarantined: bool
     """Whether the request is quarantined."""
     trial_in_s: float
     """Time until a trial run may be requested."""
@@ -35,7 +35,7 @@
 class ReportSuspectsCall(msgspec.Struct, frozen=True, tag=True):
     """Reports crashes, and suspects with a successful response; idempotent."""
 
-    ends: list[SamplerEnd]
+    ends: list[SamplerCrash]
     answered: list[str]
 
 
--- a/stileloom/quarantine/book.py
+++ b/stileloom/quarantine/registry.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash, SuspectSummary
 
-ENDS_ALONE = 3
+CRASH_THRESHOLD = 3
 """Crashes after which a request is quarantined if no other request was running during all of them.
 Two crashes may be a coincidence: a request whose sampler crashed is retried on another one at once.
 """
-ENDS_SHARED = 4
+SHARED_CRASH_THRESHOLD = 4
 """Crashes after which requests with identical crash sets are quarantined together. At most one of
 them is the cause; below this threshold none is refused, because the next crash tells them apart."""
-LISTED_FROM = 2
+MIN_PUBLISHED_CRASHES = 2
 """Crashes after which a suspect is published to other nodes. A single crash under hundreds of
 concurrent requests must not publish hundreds of suspects."""
 CRASH_RETENTION_S = 600.0
@@ -58,21 +58,21 @@
         return at_s > self.last_event_s + max(CRASH_RETENTION_S, 2 * self.quarantine_s)
 
 
-class QuarantineBook(msgspec.Struct):
+class QuarantineRegistry(msgspec.Struct):
     """All suspects; part of the ledger's state."""
 
     revision: int = 0
     """Incremented by each change that other nodes must receive."""
     suspects: dict[str, Suspect] = msgspec.field(default_factory=dict)
 
-    def record(self, crashes: list[SamplerEnd], at_s: float) -> None:
+    def record(self, crashes: list[SamplerCrash], at_s: float) -> None:
         """Records crashes; idempotent."""
         for crash in crashes:
             suspect = self.suspects.get(crash.identity)
             if suspect is None:
                 self._evict_oldest_if_full()
                 suspect = self.suspects.setdefault(crash.identity, Suspect())
-            elif not self.is_held(crash.identity):
+            elif not self.is_quarantined(crash.identity):
                 suspect.ends = {
                     sampler: ended_at
                     for sampler, ended_at in suspect.ends.items()
@@ -81,21 +81,21 @@
             if crash.sampler in suspect.ends:
                 continue
             suspect.ends[crash.sampler] = at_s
-            if len(suspect.ends) >= LISTED_FROM:
+            if len(suspect.ends) >= MIN_PUBLISHED_CRASHES:
                 self.revision += 1
 
     def clear(self, identities: list[str]) -> list[str]:
         """Clears suspects after a successful response or release; returns the known ones."""
         cleared = [identity for identity in identities if identity in self.suspects]
         for identity in cleared:
-            if len(self.suspects.pop(identity).ends) >= LISTED_FROM:
+            if len(self.suspects.pop(identity).ends) >= MIN_PUBLISHED_CRASHES:
                 self.revision += 1
         return cleared
 
     def start_trial(self, identity: str, at_s: float) -> bool:
         """Whether a quarantined request may run once more now; if so, postpones the next trial."""
         suspect = self.suspects.get(identity)
-        if suspect is None or not self.is_held(identity):
+        if suspect is None or not self.is_quarantined(identity):
             return True
         if at_s < suspect.next_trial_at_s:
             return False
@@ -104,27 +104,27 @@
         self.revision += 1
         return True
 
-    def forget_expired(self, at_s: float) -> None:
+    def remove_expired(self, at_s: float) -> None:
         """Removes expired suspects."""
         for identity in self.expired(at_s):
-            if len(self.suspects.pop(identity).ends) >= LISTED_FROM:
+            if len(self.suspects.pop(identity).ends) >= MIN_PUBLISHED_CRASHES:
                 self.revision += 1
 
     def expired(self, at_s: float) -> list[str]:
         """Identities of expired suspects."""
         return [identity for identity, suspect in self.suspects.items() if suspect.is_expired(at_s)]
 
-    def is_held(self, identity: str) -> bool:
+    def is_quarantined(self, identity: str) -> bool:
         """Whether the request is refused by all nodes.
 
         A request is not quarantined while another request was running during all of the same
         crashes and more, since that request explains them.
         """
         suspect = self.suspects.get(identity)
-        if suspect is None or len(suspect.ends) < ENDS_ALONE:
+        if suspect is None or len(suspect.ends) < CRASH_THRESHOLD:
             return False
         own_crashes = suspect.ends.keys()
-        may_share_crashes = len(own_crashes) >= ENDS_SHARED
+        may_share_crashes = len(own_crashes) >= SHARED_CRASH_THRESHOLD
         for other_identity, other in self.suspects.items():
             if other_identity == identity or len(other.ends) < len(own_crashes):
                 continue
@@ -140,11 +140,11 @@
             SuspectSummary(
                 identity,
                 sorted(suspect.ends),
-                self.is_held(identity),
+                self.is_quarantined(identity),
                 max(0.0, suspect.next_trial_at_s - at_s),
             )
             for identity, suspect in self.suspects.items()
-            if len(suspect.ends) >= LISTED_FROM
+            if len(suspect.ends) >= MIN_PUBLISHED_CRASHES
         ]
         return QuarantineListing(self.revision, suspects)
 
@@ -153,6 +153,6 @@
         if len(self.suspects) < MAX_SUSPECTS:
             return
         for identity, suspect in self.suspects.items():
-            if len(suspect.ends) < ENDS_ALONE:
+            if len(suspect.ends) < CRASH_THRESHOLD:
                 del self.suspects[identity]
                 return
--- a/stileloom/quarantine/remote_ledger.py
+++ b/stileloom/quarantine/remote_ledger.py
@@ -8,7 +8,7 @@
     QuarantineListed,
     QuarantineListing,
     ReportSuspectsCall,
-    SamplerEnd,
+    SamplerCrash,
     StartTrialCall,
     SuspectsReported,
     TrialAnswered,
@@ -29,7 +29,7 @@
     def __init__(self, client: JobClient) -> None:
         self._client = client
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records crashes and successful responses; returns the revision that covers them."""
         call = ReportSuspectsCall(crashes, succeeded)
         reply = await self._client.call(call, NO_REQUEST_ID, CALL_TIMEOUT_S)
--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -4,8 +4,8 @@
 
 import collections
 
-from stileloom.quarantine.book import ENDS_ALONE
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash, SuspectSummary
+from stileloom.quarantine.registry import CRASH_THRESHOLD
 
 MAX_PENDING = 4096
 """Bounds memory to about 400 KB; more than the requests in flight at one gateway."""
@@ -33,14 +33,14 @@
         return self._revision
 
     @property
-    def empty(self) -> bool:
+    def has_no_suspects(self) -> bool:
         """Whether no request is a suspect."""
         return not self._listed and not self._pending
 
     @property
     def quarantined_count(self) -> int:
         """Number of listed requests that are quarantined."""
-        return sum(summary.held for summary in self._listed.values())
+        return sum(summary.quarantined for summary in self._listed.values())
 
     def apply_listing(self, listing: QuarantineListing, now: float) -> list[str]:
         """Applies a listing; returns quarantined requests that recently succeeded at this node.
@@ -56,7 +56,7 @@
         return [
             identity
             for identity, summary in self._listed.items()
-            if summary.held and self._succeeded_recently(identity, now)
+            if summary.quarantined and self._succeeded_recently(identity, now)
         ]
 
     def _drop_covered(self, identity: str) -> None:
@@ -72,14 +72,14 @@
         succeeded_at = self._successes.pop(identity, None)
         return succeeded_at is not None and now <= succeeded_at + SUCCESS_RETENTION_S
 
-    def record_crash(self, crash: SamplerEnd) -> None:
+    def record_crash(self, crash: SamplerCrash) -> None:
         """Records a crash seen by this node."""
         if len(self._pending) >= MAX_PENDING and crash.identity not in self._pending:
             self._pending.pop(next(iter(self._pending)))
         self._pending.setdefault(crash.identity, {}).setdefault(crash.sampler, None)
         self._successes.pop(crash.identity, None)
 
-    def mark_reported(self, crashes: list[SamplerEnd], revision: int) -> None:
+    def mark_reported(self, crashes: list[SamplerCrash], revision: int) -> None:
         """Marks crashes as accepted by the ledger; listings from `revision` on include them."""
         for crash in crashes:
             samplers = self._pending.get(crash.identity)
@@ -96,27 +96,27 @@
         pending = self._pending.pop(identity, None)
         return pending is not None or identity in self._listed
 
-    def ends_under(self, identity: str) -> set[str]:
+    def crashed_samplers(self, identity: str) -> set[str]:
         """Incarnations known to have crashed under a request."""
         listed = self._listed.get(identity)
-        crashed = set(listed.ends) if listed is not None else set()
+        crashed = set(listed.crashes) if listed is not None else set()
         return crashed | self._pending.get(identity, {}).keys()
 
-    def is_held(self, identity: str) -> bool:
+    def is_quarantined(self, identity: str) -> bool:
         """Whether the request is quarantined.
 
         Local crashes that the listing does not cover count as well, since the ledger may be
         unreachable.
         """
         listed = self._listed.get(identity)
-        if listed is not None and listed.held:
+        if listed is not None and listed.quarantined:
             return True
         has_unlisted_crashes = identity in self._pending
-        return has_unlisted_crashes and len(self.ends_under(identity)) >= ENDS_ALONE
+        return has_unlisted_crashes and len(self.crashed_samplers(identity)) >= CRASH_THRESHOLD
 
     def trial_in_s(self, identity: str, now: float) -> float:
         """Time until a trial may be requested; infinite if the request is not quarantined."""
         listed = self._listed.get(identity)
-        if listed is None or not listed.held:
+        if listed is None or not listed.quarantined:
             return float("inf")
         return max(0.0, listed.trial_in_s - (now - self._received_at))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -103,8 +103,8 @@
     Mutant(
         "requests under the same ends are all held at the third",
         "innocent requests",
-        "stileloom/quarantine/book.py",
-        "may_share_crashes = len(own_crashes) >= ENDS_SHARED",
+        "stileloom/quarantine/registry.py",
+        "may_share_crashes = len(own_crashes) >= SHARED_CRASH_THRESHOLD",
         "may_share_crashes = True",
         f"{BOOK}::QuarantineBookTest"
         "::test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs",
@@ -121,7 +121,7 @@
     Mutant(
         "every gateway may try a held request",
         "poison requests",
-        "stileloom/quarantine/book.py",
+        "stileloom/quarantine/registry.py",
         "        if at_s < suspect.next_trial_at_s:",
         "        if at_s < 0.0:",
         f"{BOOK}::QuarantineBookTest"
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -8,7 +8,7 @@
 import msgspec
 from tornado.httpclient import HTTPResponse
 
-from stileloom.quarantine.book import ENDS_ALONE, ENDS_SHARED
+from stileloom.quarantine.registry import CRASH_THRESHOLD, SHARED_CRASH_THRESHOLD
 from tests.soak.callers import Callers
 from tests.soak.deployment import Deployment
 from tests.soak.record import Record
@@ -69,7 +69,7 @@
 
     def judge_total(self, gateway_lives: int) -> None:
         """Each life of a gateway that never reached the ledger may end three; the fleet four."""
-        most = ENDS_SHARED + ENDS_ALONE * gateway_lives
+        most = SHARED_CRASH_THRESHOLD + CRASH_THRESHOLD * gateway_lives
         if self.ended > most:
             self._record.breaks("a poison lookup ends few samplers", f"{self.ended} over {most}")
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,13 +15,13 @@
 
 from stileloom.cli.quarantine import render
 from stileloom.jobs.messages import JobReply
-from stileloom.quarantine.book import ENDS_SHARED
 from stileloom.quarantine.messages import (
     QuarantineListed,
     ReleaseSuspectCall,
     SuspectReleased,
     WatchQuarantineCall,
 )
+from stileloom.quarantine.registry import SHARED_CRASH_THRESHOLD
 from tests.service_cluster import GIVE_UP_S, ServiceCluster, with_cluster
 
 POISON = "/charts/poison"
@@ -98,7 +98,7 @@
             answer = await send_poison(cluster, 0, gateway=0)
             self.assertEqual(502, answer.code)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: not gateway._guard.view.empty)  # noqa: B023
+                await cluster.until(lambda: not gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 1, gateway=1)
             self.assertEqual(503, answer.code)
             for number in (0, 1):
@@ -177,7 +177,7 @@
             reply: JobReply = await gateway._jobs.call(ReleaseSuspectCall(identity), "test", 5.0)
             self.assertEqual(SuspectReleased(True), reply)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: gateway._guard.view.empty)  # noqa: B023
+                await cluster.until(lambda: gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 9, gateway=1)
             self.assertEqual(200, answer.code)
 
@@ -196,7 +196,9 @@
             set_faults(cluster, resets_at=frozenset())
             answer = await cluster.call("POST", "/charts/cut", b"x", request_id="last")
             self.assertEqual(200, answer.code)
-            self.assertTrue(all(gateway._guard.view.empty for gateway in cluster.gateways))
+            self.assertTrue(
+                all(gateway._guard.view.has_no_suspects for gateway in cluster.gateways)
+            )
 
         with_cluster(scenario)
 
@@ -253,7 +255,7 @@
             self.assertEqual({"succeeded"}, {result[1] for result in results})
             crashed += await replace_crashed(cluster, "drafts", target)
             # Other items of the job run concurrently and may share all of the first three crashes.
-            self.assertLessEqual(crashed, ENDS_SHARED)
+            self.assertLessEqual(crashed, SHARED_CRASH_THRESHOLD)
             self.assertEqual(1, guard.view.quarantined_count)
 
         with_cluster(scenario)
--- a/tests/test_quarantine_book.py
+++ b/tests/test_quarantine_book.py
@@ -4,23 +4,23 @@
 
 import testtools
 
-from stileloom.quarantine.book import (
+from stileloom.quarantine.messages import SamplerCrash
+from stileloom.quarantine.registry import (
     CRASH_RETENTION_S,
-    ENDS_ALONE,
-    ENDS_SHARED,
+    CRASH_THRESHOLD,
     INITIAL_QUARANTINE_S,
     MAX_SUSPECTS,
-    QuarantineBook,
+    SHARED_CRASH_THRESHOLD,
+    QuarantineRegistry,
 )
-from stileloom.quarantine.messages import SamplerEnd
 from stileloom.quarantine.view import SUCCESS_RETENTION_S, QuarantineView
 
 NOW = 1000.0
 
 
-def crashes(identity: str, *samplers: str) -> list[SamplerEnd]:
+def crashes(identity: str, *samplers: str) -> list[SamplerCrash]:
     """Crashes of samplers under one request."""
-    return [SamplerEnd(identity, sampler) for sampler in samplers]
+    return [SamplerCrash(identity, sampler) for sampler in samplers]
 
 
 class QuarantineBookTest(testtools.TestCase):
@@ -28,13 +28,13 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = QuarantineBook()
+        self.registry = QuarantineRegistry()
 
     def test_three_crashes_quarantine_a_request_and_repeats_count_once(self) -> None:
-        self.book.record(crashes("poison", "a", "b", "b", "a"), NOW)
-        self.assertFalse(self.book.is_held("poison"))
-        self.book.record(crashes("poison", "c"), NOW)
-        self.assertTrue(self.book.is_held("poison"))
+        self.registry.record(crashes("poison", "a", "b", "b", "a"), NOW)
+        self.assertFalse(self.registry.is_quarantined("poison"))
+        self.registry.record(crashes("poison", "c"), NOW)
+        self.assertTrue(self.registry.is_quarantined("poison"))
 
     def test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs(
         self,
@@ -42,65 +42,69 @@
         """All requests on a sampler share its crash; at most one of them is the cause."""
         for sampler in ("a", "b", "c"):
             for number in range(200):
-                self.book.record(crashes(f"request-{number}", sampler), NOW)
-        self.assertEqual([], [name for name in self.book.suspects if self.book.is_held(name)])
-        self.book.record(crashes("request-7", "d"), NOW)
-        quarantined = [name for name in self.book.suspects if self.book.is_held(name)]
+                self.registry.record(crashes(f"request-{number}", sampler), NOW)
+        self.assertEqual(
+            [], [name for name in self.registry.suspects if self.registry.is_quarantined(name)]
+        )
+        self.registry.record(crashes("request-7", "d"), NOW)
+        quarantined = [
+            name for name in self.registry.suspects if self.registry.is_quarantined(name)
+        ]
         self.assertEqual(["request-7"], quarantined)
 
     def test_a_request_whose_crashes_another_one_explains_is_not_quarantined(self) -> None:
-        self.book.record(crashes("poison", "a", "b", "c", "d"), NOW)
-        self.book.record(crashes("bystander", "a", "b", "c"), NOW)
-        self.assertTrue(self.book.is_held("poison"))
-        self.assertFalse(self.book.is_held("bystander"))
+        self.registry.record(crashes("poison", "a", "b", "c", "d"), NOW)
+        self.registry.record(crashes("bystander", "a", "b", "c"), NOW)
+        self.assertTrue(self.registry.is_quarantined("poison"))
+        self.assertFalse(self.registry.is_quarantined("bystander"))
 
     def test_inseparable_requests_are_both_quarantined_after_one_more_crash(self) -> None:
         samplers = ("a", "b", "c", "d")
-        for count in range(1, ENDS_SHARED + 1):
+        for count in range(1, SHARED_CRASH_THRESHOLD + 1):
             for name in ("one", "two"):
-                self.book.record(crashes(name, samplers[count - 1]), NOW)
-            self.assertEqual(count >= ENDS_SHARED, self.book.is_held("one"))
-            self.assertEqual(count >= ENDS_SHARED, self.book.is_held("two"))
+                self.registry.record(crashes(name, samplers[count - 1]), NOW)
+            self.assertEqual(count >= SHARED_CRASH_THRESHOLD, self.registry.is_quarantined("one"))
+            self.assertEqual(count >= SHARED_CRASH_THRESHOLD, self.registry.is_quarantined("two"))
 
     def test_a_successful_response_clears_a_request_and_is_published(self) -> None:
-        self.book.record(crashes("popular", "a", "b", "c"), NOW)
-        revision = self.book.revision
-        self.assertEqual(["popular"], self.book.clear(["popular", "unknown"]))
-        self.assertFalse(self.book.is_held("popular"))
-        self.assertGreater(self.book.revision, revision)
+        self.registry.record(crashes("popular", "a", "b", "c"), NOW)
+        revision = self.registry.revision
+        self.assertEqual(["popular"], self.registry.clear(["popular", "unknown"]))
+        self.assertFalse(self.registry.is_quarantined("popular"))
+        self.assertGreater(self.registry.revision, revision)
 
     def test_crashes_far_apart_do_not_add_up(self) -> None:
         for count, sampler in enumerate(("a", "b", "c", "d")):
-            self.book.record(crashes("unlucky", sampler), NOW + count * (CRASH_RETENTION_S + 1))
-        self.assertFalse(self.book.is_held("unlucky"))
+            self.registry.record(crashes("unlucky", sampler), NOW + count * (CRASH_RETENTION_S + 1))
+        self.assertFalse(self.registry.is_quarantined("unlucky"))
 
     def test_one_trial_in_the_whole_fleet_per_interval_with_exponential_backoff(self) -> None:
-        self.book.record(crashes("poison", "a", "b", "c"), NOW)
+        self.registry.record(crashes("poison", "a", "b", "c"), NOW)
         due_at = NOW + INITIAL_QUARANTINE_S
-        self.assertFalse(self.book.start_trial("poison", due_at - 1))
-        self.assertTrue(self.book.start_trial("poison", due_at))
-        self.assertFalse(self.book.start_trial("poison", due_at + INITIAL_QUARANTINE_S))
-        self.assertTrue(self.book.start_trial("poison", due_at + 2 * INITIAL_QUARANTINE_S))
+        self.assertFalse(self.registry.start_trial("poison", due_at - 1))
+        self.assertTrue(self.registry.start_trial("poison", due_at))
+        self.assertFalse(self.registry.start_trial("poison", due_at + INITIAL_QUARANTINE_S))
+        self.assertTrue(self.registry.start_trial("poison", due_at + 2 * INITIAL_QUARANTINE_S))
 
     def test_suspects_expire(self) -> None:
-        self.book.record(crashes("poison", "a", "b", "c"), NOW)
-        self.book.forget_expired(NOW + CRASH_RETENTION_S)
-        self.assertTrue(self.book.is_held("poison"))
-        self.book.forget_expired(NOW + CRASH_RETENTION_S + 1)
-        self.assertEqual({}, self.book.suspects)
+        self.registry.record(crashes("poison", "a", "b", "c"), NOW)
+        self.registry.remove_expired(NOW + CRASH_RETENTION_S)
+        self.assertTrue(self.registry.is_quarantined("poison"))
+        self.registry.remove_expired(NOW + CRASH_RETENTION_S + 1)
+        self.assertEqual({}, self.registry.suspects)
 
     def test_a_full_registry_evicts_no_quarantined_request(self) -> None:
-        self.book.record(crashes("poison", "a", "b", "c"), NOW)
+        self.registry.record(crashes("poison", "a", "b", "c"), NOW)
         for number in range(MAX_SUSPECTS + 500):
-            self.book.record(crashes(f"request-{number}", f"sampler-{number}"), NOW)
-        self.assertTrue(self.book.is_held("poison"))
-        self.assertEqual(MAX_SUSPECTS, len(self.book.suspects))
+            self.registry.record(crashes(f"request-{number}", f"sampler-{number}"), NOW)
+        self.assertTrue(self.registry.is_quarantined("poison"))
+        self.assertEqual(MAX_SUSPECTS, len(self.registry.suspects))
 
     def test_a_single_crash_under_many_requests_is_not_published(self) -> None:
         for number in range(200):
-            self.book.record(crashes(f"request-{number}", "a"), NOW)
-        self.assertEqual(0, self.book.revision)
-        self.assertEqual([], self.book.listing(NOW).suspects)
+            self.registry.record(crashes(f"request-{number}", "a"), NOW)
+        self.assertEqual(0, self.registry.revision)
+        self.assertEqual([], self.registry.listing(NOW).suspects)
 
 
 class QuarantineViewTest(testtools.TestCase):
@@ -108,26 +112,26 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = QuarantineBook()
+        self.registry = QuarantineRegistry()
         self.view = QuarantineView()
 
     def apply_listing(self) -> list[str]:
         """Applies the current listing."""
-        return self.view.apply_listing(self.book.listing(NOW), 0.0)
+        return self.view.apply_listing(self.registry.listing(NOW), 0.0)
 
     def test_local_crashes_count_while_the_ledger_is_unreachable(self) -> None:
         for crash in crashes("poison", "a", "b"):
             self.view.record_crash(crash)
-        self.assertFalse(self.view.is_held("poison"))
-        self.view.record_crash(SamplerEnd("poison", "c"))
-        self.assertTrue(self.view.is_held("poison"))
+        self.assertFalse(self.view.is_quarantined("poison"))
+        self.view.record_crash(SamplerCrash("poison", "c"))
+        self.assertTrue(self.view.is_quarantined("poison"))
 
     def test_local_and_listed_crashes_of_one_sampler_count_once(self) -> None:
-        self.book.record(crashes("poison", "a", "b"), NOW)
+        self.registry.record(crashes("poison", "a", "b"), NOW)
         self.apply_listing()
-        self.view.record_crash(SamplerEnd("poison", "b"))
-        self.assertEqual({"a", "b"}, self.view.ends_under("poison"))
-        self.assertFalse(self.view.is_held("poison"))
+        self.view.record_crash(SamplerCrash("poison", "b"))
+        self.assertEqual({"a", "b"}, self.view.crashed_samplers("poison"))
+        self.assertFalse(self.view.is_quarantined("poison"))
 
     def test_reported_crashes_are_superseded_by_the_listing(self) -> None:
         """Otherwise a release, or attribution to another request, would never reach the node that
@@ -135,38 +139,38 @@
         reported = crashes("poison", "a", "b", "c")
         for crash in reported:
             self.view.record_crash(crash)
-        self.book.record(reported, NOW)
-        self.view.mark_reported(reported, self.book.revision)
+        self.registry.record(reported, NOW)
+        self.view.mark_reported(reported, self.registry.revision)
         self.apply_listing()
-        self.assertTrue(self.view.is_held("poison"))
-        self.book.clear(["poison"])
+        self.assertTrue(self.view.is_quarantined("poison"))
+        self.registry.clear(["poison"])
         self.apply_listing()
-        self.assertFalse(self.view.is_held("poison"))
-        self.assertTrue(self.view.empty)
+        self.assertFalse(self.view.is_quarantined("poison"))
+        self.assertTrue(self.view.has_no_suspects)
 
     def test_a_popular_request_on_crashed_samplers_is_cleared_by_its_successful_responses(
         self,
     ) -> None:
         self.view.record_success("popular", 0.0)
-        self.book.record(crashes("popular", "a", "b", "c"), NOW)
-        self.book.record(crashes("poison", "d", "e", "f"), NOW)
+        self.registry.record(crashes("popular", "a", "b", "c"), NOW)
+        self.registry.record(crashes("poison", "d", "e", "f"), NOW)
         self.assertEqual(["popular"], self.apply_listing())
 
     def test_one_successful_response_does_not_clear_a_request_twice(self) -> None:
         self.view.record_success("turned", 0.0)
-        self.book.record(crashes("turned", "a", "b", "c"), NOW)
+        self.registry.record(crashes("turned", "a", "b", "c"), NOW)
         self.assertEqual(["turned"], self.apply_listing())
-        self.book.clear(["turned"])
-        self.book.record(crashes("turned", "d", "e", "f"), NOW)
+        self.registry.clear(["turned"])
+        self.registry.record(crashes("turned", "d", "e", "f"), NOW)
         self.assertEqual([], self.apply_listing())
 
     def test_an_old_successful_response_clears_nothing(self) -> None:
         self.view.record_success("turned", -SUCCESS_RETENTION_S - 1.0)
-        self.book.record(crashes("turned", "a", "b", "c"), NOW)
+        self.registry.record(crashes("turned", "a", "b", "c"), NOW)
         self.assertEqual([], self.apply_listing())
 
     def test_a_trial_is_due_at_the_listed_time(self) -> None:
-        self.book.record(crashes("poison", *"abc"[:ENDS_ALONE]), NOW)
+        self.registry.record(crashes("poison", *"abc"[:CRASH_THRESHOLD]), NOW)
         self.apply_listing()
         self.assertEqual(INITIAL_QUARANTINE_S, self.view.trial_in_s("poison", 0.0))
         self.assertEqual(0.0, self.view.trial_in_s("poison", INITIAL_QUARANTINE_S + 1.0))
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from stileloom.quarantine.book import ENDS_ALONE, QuarantineBook
-from stileloom.quarantine.messages import SamplerEnd
+from stileloom.quarantine.messages import SamplerCrash
+from stileloom.quarantine.registry import CRASH_THRESHOLD, QuarantineRegistry
 from stileloom.quarantine.view import QuarantineView
 
 GATEWAYS = 300
@@ -28,10 +28,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = QuarantineBook()
+        self.registry = QuarantineRegistry()
         self.now = 0.0
         self.views = {number: QuarantineView() for number in GATEWAY_IDS}
-        self.reports: list[tuple[int, SamplerEnd]] = []
+        self.reports: list[tuple[int, SamplerCrash]] = []
         self.samplers = 0
         self.crashes_after_all_up_to_date = 0
         self.popular_refusals = 0
@@ -46,11 +46,11 @@
     def poison_arrives(self, gateway: int) -> None:
         """The poison request crashes its sampler unless it is quarantined."""
         view = self.views[gateway]
-        if view.is_held(POISON):
+        if view.is_quarantined(POISON):
             return
-        if self.book.is_held(POISON) and not self.reports and self.all_up_to_date():
+        if self.registry.is_quarantined(POISON) and not self.reports and self.all_up_to_date():
             self.crashes_after_all_up_to_date += 1
-        crash = SamplerEnd(POISON, self.next_sampler())
+        crash = SamplerCrash(POISON, self.next_sampler())
         view.record_crash(crash)
         self.reports.append((gateway, crash))
 
@@ -58,16 +58,16 @@
     def popular_arrives(self, gateway: int, coincidental_crash: bool) -> None:
         """A popular request succeeds, perhaps after a coincidental crash of its sampler."""
         view = self.views[gateway]
-        if view.is_held(POPULAR):
+        if view.is_quarantined(POPULAR):
             self.popular_refusals += 1
             return
-        if coincidental_crash and len(view.ends_under(POPULAR)) < ENDS_ALONE - 1:
-            crash = SamplerEnd(POPULAR, self.next_sampler())
+        if coincidental_crash and len(view.crashed_samplers(POPULAR)) < CRASH_THRESHOLD - 1:
+            crash = SamplerCrash(POPULAR, self.next_sampler())
             view.record_crash(crash)
             self.reports.append((gateway, crash))
         if view.record_success(POPULAR, self.now):
             self.reports = [item for item in self.reports if item[1].identity != POPULAR]
-            self.book.clear([POPULAR])
+            self.registry.clear([POPULAR])
 
     @precondition(lambda self: self.reports)
     @rule(times=strategies.integers(1, 2))
@@ -75,27 +75,27 @@
         """The oldest report is recorded, perhaps twice."""
         gateway, crash = self.reports.pop(0)
         for _ in range(times):
-            self.book.record([crash], self.now)
-        self.views[gateway].mark_reported([crash], self.book.revision)
+            self.registry.record([crash], self.now)
+        self.views[gateway].mark_reported([crash], self.registry.revision)
 
     @rule(share=strategies.sampled_from([0.01, 0.5, 1.0]))
     def listings_arrive(self, share: float) -> None:
         """Some gateways receive the listing and clear quarantined requests that succeeded there."""
-        listing = self.book.listing(self.now)
+        listing = self.registry.listing(self.now)
         for number in self.rng.sample(list(GATEWAY_IDS), max(1, int(GATEWAYS * share))):
             for identity in self.views[number].apply_listing(listing, self.now):
-                self.book.clear([identity])
+                self.registry.clear([identity])
 
     @rule(gateway=strategies.sampled_from(GATEWAY_IDS))
     def gateway_restarts(self, gateway: int) -> None:
         """A restarted gateway loses its state and applies the listing before it is ready."""
         self.reports = [item for item in self.reports if item[0] != gateway]
         self.views[gateway] = QuarantineView()
-        self.views[gateway].apply_listing(self.book.listing(self.now), self.now)
+        self.views[gateway].apply_listing(self.registry.listing(self.now), self.now)
 
     def all_up_to_date(self) -> bool:
         """Whether every gateway has the latest listing."""
-        return all(view.revision == self.book.revision for view in self.views.values())
+        return all(view.revision == self.registry.revision for view in self.views.values())
 
     @invariant()
     def no_crash_once_all_gateways_have_the_listing(self) -> None:
@@ -110,7 +110,7 @@
         for gateway, crash in self.reports:
             if crash.identity == POISON:
                 own[gateway] = own.get(gateway, 0) + 1
-        assert all(count <= ENDS_ALONE for count in own.values())
+        assert all(count <= CRASH_THRESHOLD for count in own.values())
 
     @invariant()
     def popular_requests_are_not_refused(self) -> None:
--- a/tests/test_quarantine_guard.py
+++ b/tests/test_quarantine_guard.py
@@ -14,8 +14,8 @@
 from stileloom.logging import EventLog, configure_logs
 from stileloom.quarantine import guard as guard_module
 from stileloom.quarantine.end_probe import ProbeResult
-from stileloom.quarantine.guard import BEGAN_LATELY_S, QuarantineGuard
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
+from stileloom.quarantine.guard import CRASH_ATTRIBUTION_WINDOW_S, QuarantineGuard
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash, SuspectSummary
 from stileloom.quarantine.metrics import QuarantineMetrics
 from tests.ports import free_port
 
@@ -29,10 +29,10 @@
     def __init__(self) -> None:
         self.unavailable = False
         self.trials = 0
-        self.crashes: list[SamplerEnd] = []
+        self.crashes: list[SamplerCrash] = []
         self.successes: list[str] = []
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records a report."""
         self._check_available()
         self.crashes += crashes
@@ -75,7 +75,7 @@
         summary = SuspectSummary(
             IDENTITY, [f"s{number}" for number in range(crashes)], quarantined, trial_in_s
         )
-        self.guard.learn(QuarantineListing(1, [summary]))
+        self.guard.apply_listing(QuarantineListing(1, [summary]))
 
     async def admitted_attempts(self) -> int | None:
         """Attempts of a new arrival, or None if it is refused."""
@@ -107,7 +107,7 @@
             self.assertTrue(permit.suspected)
             while not self.ledger.crashes:
                 await asyncio.sleep(0.01)
-            self.assertEqual([SamplerEnd(IDENTITY, "a/7")], self.ledger.crashes)
+            self.assertEqual([SamplerCrash(IDENTITY, "a/7")], self.ledger.crashes)
 
         asyncio.run(scenario())
 
@@ -140,7 +140,9 @@
         async def scenario() -> None:
             permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
-            await permit.attempt_failed(crashed_sampler("a"), now - BEGAN_LATELY_S - 1.0)
+            await permit.attempt_failed(
+                crashed_sampler("a"), now - CRASH_ATTRIBUTION_WINDOW_S - 1.0
+            )
             self.assertEqual(3, permit.attempts_left)
 
         asyncio.run(scenario())
