--- a/stileloom/daemon/directory.py
+++ b/stileloom/daemon/directory.py
@@ -79,7 +79,7 @@
     @property
     def complete(self) -> bool:
         """Whether routes and samplers are known."""
-        return self.routes.version > 0 and self.samplers.listed_once
+        return self.routes.version > 0 and self.samplers.has_listing
 
     def start(self) -> None:
         """Begins to follow."""
--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -23,7 +23,7 @@
 from stileloom.jobs.client import JobClient, LedgerNodes
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.proxy.front import Front
+from stileloom.proxy.front import GatewayServer
 from stileloom.proxy.metrics import ProxyMetrics
 from stileloom.proxy.sampler_access import SamplerAccess
 from stileloom.proxy.stream_relay import StreamRelay
@@ -94,7 +94,7 @@
         self._forwarder = Forwarder(access, switches.hedging)
         self._relay = StreamRelay(access)
         self.directory.on_sampler_gone = self._forget_sampler
-        self.front = Front(
+        self.front = GatewayServer(
             dialect,
             self.directory.routes,
             self._forwarder,
@@ -185,8 +185,8 @@
         self._log.emit(LogEvent.DRAIN_FINISHED, {"open": self.front.open_requests})
 
     def _forget_sampler(self, sampler_id: str) -> None:
-        self._forwarder.forget(sampler_id)
-        self._relay.forget(sampler_id)
+        self._forwarder.close_connections(sampler_id)
+        self._relay.close_connections(sampler_id)
 
     # Ledger nodes.
 
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -74,8 +74,8 @@
         self._log = log
         self._removals: dict[str, bool] = {}
         """Nodes to be emptied, and whether the end was written."""
-        for belief in directory.samplers.all():
-            self.runner.on_sampler_listed(belief.entry.sampler_id, belief.entry.model_versions)
+        for tracked in directory.samplers.all():
+            self.runner.on_sampler_listed(tracked.entry.sampler_id, tracked.entry.model_versions)
         kinds = dialect.kinds
         versions = ObjectWatcher(
             store,
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -291,7 +291,7 @@
             self._leadership.runner.on_sampler_listed(entry.sampler_id, entry.model_versions)
 
     def _sampler_gone(self, sampler_id: str) -> None:
-        self._forwarder.forget(sampler_id)
+        self._forwarder.close_connections(sampler_id)
         if self._leadership is not None:
             self._leadership.runner.on_sampler_removed(sampler_id)
 
--- a/stileloom/http1/pool.py
+++ b/stileloom/http1/pool.py
@@ -32,7 +32,7 @@
         else:
             connection.close()
 
-    def forget(self, sampler_id: str) -> None:
+    def close_connections(self, sampler_id: str) -> None:
         """Closes what is kept for a sampler that is gone."""
         for connection in self._idle.pop(sampler_id, []):
             connection.close()
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -24,7 +24,7 @@
 from stileloom.jobs.reward_window import RewardWindow
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.proxy.lookup import Lookup, LookupAnswer
+from stileloom.proxy.lookup import Lookup, LookupResponse
 from stileloom.proxy.route_table import RouteTable
 from stileloom.proxy.sampler_table import SamplerTable
 
@@ -162,7 +162,7 @@
         if self._pending.get(pending.item.key) is pending:
             self._schedule_retry(pending, steady_time(), error)
 
-    async def _forward(self, pending: PendingReward, route: Route, service: str) -> LookupAnswer:
+    async def _forward(self, pending: PendingReward, route: Route, service: str) -> LookupResponse:
         """Forwards the call once, with the attempts and timeout of its route."""
         call = pending.call
         now = steady_time()
@@ -175,7 +175,7 @@
         return await self._forwarder.forward(lookup, repeatable, service)
 
     def _handle_answer(
-        self, pending: PendingReward, answer: LookupAnswer, max_attempts: int
+        self, pending: PendingReward, answer: LookupResponse, max_attempts: int
     ) -> None:
         status = answer.head.status
         score = answer.head.headers.get(self._names.signature, "")
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -167,7 +167,7 @@
     def on_sampler_removed(self, sampler_id: str) -> None:
         """Handles a sampler that is leaving or gone; its runs continue while events arrive."""
         self._suspects.remove_sampler(sampler_id)
-        self._pool.forget(sampler_id)
+        self._pool.close_connections(sampler_id)
         self._loader.remove_sampler(sampler_id)
 
     def results_wait(self, job_id: str) -> asyncio.Future[None]:
@@ -352,7 +352,7 @@
         try:
             connection = await self._pool.acquire(entry.sampler_id, entry.address)
         except (OSError, TimeoutError) as error:
-            self._samplers.failed(entry.sampler_id, steady_time())
+            self._samplers.record_failure(entry.sampler_id, steady_time())
             self._log_failed_run(
                 open_item, entry.sampler_id, RunOutcome.BROKEN, type(error).__name__
             )
@@ -439,7 +439,7 @@
                 asyncio.get_running_loop().call_soon(self._pool.release, sampler_id, connection)
         self._metrics.runs_ended.labels(outcome.value).inc()
         if outcome is RunOutcome.COMPLETE:
-            self._samplers.answered(sampler_id)
+            self._samplers.record_success(sampler_id)
             self._suspects.on_complete_text(open_item)
             open_item.partial.whole = True
             self._on_complete_text(open_item)
@@ -451,7 +451,7 @@
         if outcome is RunOutcome.REFUSED:
             self.scheduler.stats(sampler_id).refused_until = now + REFUSAL_BACKOFF_S
         elif outcome is RunOutcome.MISDIRECTED:
-            self._samplers.mark_leaving(sampler_id)
+            self._samplers.mark_draining(sampler_id)
         elif outcome is RunOutcome.FAILED:
             open_item.failures += 1
             if open_item.failures >= open_item.max_attempts:
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -23,7 +23,7 @@
 )
 from stileloom.jobs.partial_text import PartialText
 from stileloom.jobs.registry import JobRecord
-from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
+from stileloom.proxy.sampler_table import SamplerTable, TrackedSampler
 from stileloom.switches import ALL_ON, Switches
 
 EVENT_TIMEOUT_S = 1.3
@@ -254,7 +254,7 @@
         stats.groups.add(open_item.item.group)
         return StartRun(open_item, sampler_id, open_item.run)
 
-    def _best_sampler(self, open_item: OpenItem, now: float) -> SamplerBelief | None:
+    def _best_sampler(self, open_item: OpenItem, now: float) -> TrackedSampler | None:
         candidates = [
             sampler
             for sampler in self._samplers.of_service(open_item.service)
@@ -264,14 +264,14 @@
             return None
         return min(candidates, key=lambda sampler: self._cost(open_item, sampler))
 
-    def _can_run(self, open_item: OpenItem, sampler: SamplerBelief, now: float) -> bool:
+    def _can_run(self, open_item: OpenItem, sampler: TrackedSampler, now: float) -> bool:
         sampler_id = sampler.entry.sampler_id
         if not self.serves(sampler_id, open_item.model):
             return False
         stats = self.stats(sampler_id)
         if stats.running >= sampler.entry.slots or now < stats.refused_until:
             return False
-        if sampler.suspect_until > now or (sampler.failures and stats.running):
+        if sampler.avoid_until > now or (sampler.failures and stats.running):
             # After a failure no run starts until the suspicion expires, then one run as a probe.
             return False
         if stats.running and stats.tokens + open_item.estimated_tokens > self._cache_tokens(
@@ -287,7 +287,7 @@
         text_versions = open_item.partial.versions
         return not (open_item.single_version and text_versions and text_versions != [version])
 
-    def _cost(self, open_item: OpenItem, sampler: SamplerBelief) -> tuple[bool, float]:
+    def _cost(self, open_item: OpenItem, sampler: TrackedSampler) -> tuple[bool, float]:
         stats = self.stats(sampler.entry.sampler_id)
         fill = stats.running / max(1, sampler.entry.slots)
         slowdown = FULL_SAMPLER_SLOWDOWN if self._switches.fastest_first else 1.0
@@ -307,7 +307,7 @@
             loading = self.models_of(run.sampler_id).loading == open_item.model
             timeout_s = LOADING_EVENT_TIMEOUT_S if loading else EVENT_TIMEOUT_S
             if now - run.last_event_at > timeout_s:
-                self._samplers.failed(run.sampler_id, now)
+                self._samplers.record_failure(run.sampler_id, now)
                 unresponsive.append(open_item)
         return unresponsive
 
@@ -393,7 +393,7 @@
         if run is None:
             return
         if run.events == 0:
-            self._samplers.answered(run.sampler_id)
+            self._samplers.record_success(run.sampler_id)
         else:
             stats = self.stats(run.sampler_id)
             stats.measured = True
--- a/stileloom/jobs/version_planner.py
+++ b/stileloom/jobs/version_planner.py
@@ -13,7 +13,7 @@
 from stileloom.api.dialect import LoadStrategy
 from stileloom.jobs.open_items import OpenItem
 from stileloom.jobs.scheduler import ItemScheduler
-from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
+from stileloom.proxy.sampler_table import SamplerTable, TrackedSampler
 from stileloom.switches import ALL_ON, Switches
 
 MAX_LOADING_SHARE = 0.4
@@ -117,7 +117,7 @@
                 continue
             if not self._scheduler.serves(sampler_id, model):
                 continue
-            if now < self._not_before.get(sampler_id, 0.0) or sampler.suspect_until > now:
+            if now < self._not_before.get(sampler_id, 0.0) or sampler.avoid_until > now:
                 continue
             load = self._load(
                 now, sampler, model, target, version < required_version, bool(waiting)
@@ -133,7 +133,7 @@
     def _load(
         self,
         now: float,
-        sampler: SamplerBelief,
+        sampler: TrackedSampler,
         model: str,
         target: int,
         is_required: bool,
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -114,7 +114,7 @@
             },
         )
         if outcome is OrderOutcome.GONE:
-            self._samplers.mark_leaving(load.sampler_id)
+            self._samplers.mark_draining(load.sampler_id)
         if outcome in (OrderOutcome.REFUSED, OrderOutcome.FENCED):
             self._planner.postpone(load.sampler_id, steady_time() + ORDER_RETRY_S)
         return outcome
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -299,7 +299,7 @@
 
     def _on_drain_sampler(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, DrainSampler)
-        return self.table.mark_leaving(message.sampler_id)
+        return self.table.mark_draining(message.sampler_id)
 
     # Component timers.
 
--- a/stileloom/proxy/attempt_plan.py
+++ b/stileloom/proxy/attempt_plan.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
+from stileloom.proxy.sampler_table import SamplerTable, TrackedSampler
 
 HEDGE_DELAY_FRACTION = 0.45
 """Share of the target latency after which a hedged attempt starts."""
@@ -50,7 +50,7 @@
 
     def select_sampler(
         self, samplers: SamplerTable, now: float, rng: random.Random
-    ) -> SamplerBelief | None:
+    ) -> TrackedSampler | None:
         """Selects the sampler for the next attempt, or None if there is no candidate."""
         candidates = [
             tracked
@@ -71,27 +71,27 @@
         if not candidates:
             return None
 
-        def cost(tracked: SamplerBelief) -> tuple[bool, float, bool, float]:
+        def cost(tracked: TrackedSampler) -> tuple[bool, float, bool, float]:
             load = tracked.open_requests / max(1, tracked.entry.slots)
             load_rank = 0.0 if load < 0.5 else load
             remote = tracked.entry.zone != self.zone
-            return (tracked.suspect_until > now, load_rank, remote, rng.random())
+            return (tracked.avoid_until > now, load_rank, remote, rng.random())
 
         return min(candidates, key=cost)
 
-    def started(self, sampler_id: str, now: float) -> None:
+    def record_start(self, sampler_id: str, now: float) -> None:
         """Records the start of an attempt."""
         self.running += 1
         self.last_started_at = now
         self.tried.add(sampler_id)
 
-    def refused(self, sampler_id: str, full: bool = True) -> None:
+    def record_refusal(self, sampler_id: str, full: bool = True) -> None:
         """Records a refusal without a run; `full` if the sampler may have a free slot soon."""
         self.running -= 1
         self.refused_by.add(sampler_id)
         self.full |= full
 
-    def connect_failed(self, sampler_id: str) -> None:
+    def record_connect_failure(self, sampler_id: str) -> None:
         """Records a failed connection; the request was not sent."""
         self.running -= 1
         self.unreachable.add(sampler_id)
@@ -101,7 +101,7 @@
         self.refused_by.clear()
         self.full = False
 
-    def ran(self) -> None:
+    def record_run(self) -> None:
         """Records the end of an attempt that may have run."""
         self.running -= 1
         self.may_have_run += 1
--- a/stileloom/proxy/forwarder.py
+++ b/stileloom/proxy/forwarder.py
@@ -15,9 +15,9 @@
 from stileloom.proxy.admission import suspect_refusal, wait_or_refuse
 from stileloom.proxy.attempt_plan import AttemptPlan
 from stileloom.proxy.exchange import Attempt, AttemptOutcome, run_exchange
-from stileloom.proxy.lookup import Lookup, LookupAnswer
+from stileloom.proxy.lookup import Lookup, LookupResponse
 from stileloom.proxy.sampler_access import SamplerAccess
-from stileloom.proxy.sampler_table import SamplerBelief
+from stileloom.proxy.sampler_table import TrackedSampler
 from stileloom.quarantine.guard import Permit
 
 
@@ -35,11 +35,11 @@
         self._hedges = hedges
         self._pool = ConnectionPool(access.metrics.connection_opened)
 
-    def forget(self, sampler_id: str) -> None:
+    def close_connections(self, sampler_id: str) -> None:
         """Closes the keep-alive connections of a removed sampler."""
-        self._pool.forget(sampler_id)
+        self._pool.close_connections(sampler_id)
 
-    async def forward(self, lookup: Lookup, route: Route, service: str) -> LookupAnswer:
+    async def forward(self, lookup: Lookup, route: Route, service: str) -> LookupResponse:
         """Returns a sampler's response.
 
         Raises `StileloomError`: QUARANTINED, OVERLOADED or NO_SAMPLER if the lookup did not run,
@@ -69,7 +69,7 @@
         plan: AttemptPlan,
         permit: Permit,
         attempts: set[asyncio.Task[Attempt]],
-    ) -> LookupAnswer:
+    ) -> LookupResponse:
         last_failure: Attempt | None = None
         failed_attempts = 0
         while True:
@@ -107,7 +107,7 @@
                     if attempt.head.status < 500:
                         permit.succeeded()
                         self._log_response(lookup, plan, attempt)
-                        return LookupAnswer(attempt.head, attempt.body)
+                        return LookupResponse(attempt.head, attempt.body)
                     last_failure = attempt
                     failed_attempts += attempt.head.status == 500
 
@@ -131,7 +131,7 @@
         tracked = plan.select_sampler(self._samplers, now, self._rng)
         if tracked is None:
             return False
-        plan.started(tracked.entry.sampler_id, now)
+        plan.record_start(tracked.entry.sampler_id, now)
         attempts.add(asyncio.get_running_loop().create_task(self._attempt(lookup, tracked)))
         return True
 
@@ -147,10 +147,10 @@
 
     def _final_failure(
         self, plan: AttemptPlan, last_failure: Attempt | None, failed_attempts: int
-    ) -> LookupAnswer:
+    ) -> LookupResponse:
         """Returns the last error response of a sampler, or raises SAMPLER_FAILED."""
         if last_failure is not None and last_failure.head is not None:
-            return LookupAnswer(last_failure.head, last_failure.body, failed_attempts)
+            return LookupResponse(last_failure.head, last_failure.body, failed_attempts)
         raise StileloomError(
             ErrorKind.SAMPLER_FAILED, f"{plan.may_have_run} attempts failed without a response"
         )
@@ -168,20 +168,20 @@
         outcome = attempt.outcome
         self._metrics.attempts.labels(outcome.value).inc()
         if outcome is AttemptOutcome.ANSWERED:
-            self._samplers.answered(sampler_id)
-            plan.ran()
+            self._samplers.record_success(sampler_id)
+            plan.record_run()
             return True
         if outcome is AttemptOutcome.REFUSED:
-            plan.refused(sampler_id)
+            plan.record_refusal(sampler_id)
         elif outcome is AttemptOutcome.MISDIRECTED:
-            self._samplers.mark_leaving(sampler_id)
-            plan.refused(sampler_id, full=False)
+            self._samplers.mark_draining(sampler_id)
+            plan.record_refusal(sampler_id, full=False)
         elif outcome is AttemptOutcome.NOT_CONNECTED:
-            self._samplers.failed(sampler_id, now)
-            plan.connect_failed(sampler_id)
+            self._samplers.record_failure(sampler_id, now)
+            plan.record_connect_failure(sampler_id)
         else:
-            self._samplers.failed(sampler_id, now)
-            plan.ran()
+            self._samplers.record_failure(sampler_id, now)
+            plan.record_run()
         self._log.emit(
             LogEvent.ATTEMPT_FAILED,
             {
@@ -197,7 +197,7 @@
         )
         return False
 
-    async def _attempt(self, lookup: Lookup, tracked: SamplerBelief) -> Attempt:
+    async def _attempt(self, lookup: Lookup, tracked: TrackedSampler) -> Attempt:
         entry = tracked.entry
         tracked.open_requests += 1
         try:
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -40,7 +40,7 @@
 from stileloom.jobs.submission_check import check_submission
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.proxy.lookup import Lookup, LookupAnswer
+from stileloom.proxy.lookup import Lookup, LookupResponse
 from stileloom.proxy.metrics import ProxyMetrics
 from stileloom.proxy.route_table import RouteTable
 from stileloom.proxy.stream_relay import StreamRelay, StreamWriter
@@ -79,7 +79,7 @@
     body: bytes
 
 
-class Front(HTTPServerConnectionDelegate):
+class GatewayServer(HTTPServerConnectionDelegate):
     """HTTP server delegate; one per gateway."""
 
     def __init__(
@@ -189,7 +189,7 @@
             caller_address=request.caller_address,
         )
         service = self._routes.choose_backend(route)
-        answer: LookupAnswer | None
+        answer: LookupResponse | None
         if route.kind is RouteKind.STREAMING and writer is not None:
             answer = await self._relay.relay(lookup, route, service, writer)
             if answer is None:
@@ -310,7 +310,7 @@
 class _CallerExchange(HTTPMessageDelegate):
     """One request on a caller's connection; implements `StreamWriter`."""
 
-    def __init__(self, front: Front, connection: HTTPConnection) -> None:
+    def __init__(self, front: GatewayServer, connection: HTTPConnection) -> None:
         self._front = front
         self._connection = connection
         self._start: RequestStartLine | None = None
--- a/stileloom/proxy/lookup.py
+++ b/stileloom/proxy/lookup.py
@@ -28,7 +28,7 @@
         return identity_of(self.method, self.target, self.headers, self.body)
 
 
-class LookupAnswer(msgspec.Struct, frozen=True):
+class LookupResponse(msgspec.Struct, frozen=True):
     """A sampler's complete response."""
 
     head: ResponseHead
--- a/stileloom/proxy/sampler_table.py
+++ b/stileloom/proxy/sampler_table.py
@@ -12,16 +12,16 @@
 
 from stileloom.api.sampler_directory import SamplerEntry
 
-SUSPECT_S = 1.5
+FAILURE_COOLDOWN_S = 1.5
 """How long a sampler is avoided after a failed attempt."""
 
 
-class SamplerBelief(msgspec.Struct):
+class TrackedSampler(msgspec.Struct):
     """A listed sampler and this node's observations of it."""
 
     entry: SamplerEntry
     open_requests: int = 0
-    suspect_until: float = 0.0
+    avoid_until: float = 0.0
     failures: int = 0
 
     @property
@@ -44,8 +44,8 @@
     """Listed samplers that are not leaving."""
 
     def __init__(self) -> None:
-        self.listed_once = False
-        self._tracked: dict[str, SamplerBelief] = {}
+        self.has_listing = False
+        self._tracked: dict[str, TrackedSampler] = {}
         self._latest_start_ms: dict[str, int] = {}
         """Latest start time by sampler id, in Unix milliseconds."""
         self._leaving: set[str] = set()
@@ -53,7 +53,7 @@
 
     def replace_all(self, entries: list[SamplerEntry]) -> list[str]:
         """Applies a complete listing; returns the ids that are gone or have restarted."""
-        self.listed_once = True
+        self.has_listing = True
         listed = {entry.sampler_id for entry in entries}
         gone = [sampler_id for sampler_id in self._tracked if sampler_id not in listed]
         for sampler_id in gone:
@@ -75,18 +75,18 @@
             self._leaving.discard(sampler_id)
             self._tracked.pop(sampler_id, None)
         if entry.draining:
-            known = not self.mark_leaving(sampler_id)
+            known = not self.mark_draining(sampler_id)
             return SamplerChange.NONE if known else SamplerChange.DRAINING
         if sampler_id in self._leaving:
             return SamplerChange.NONE
         tracked = self._tracked.get(sampler_id)
         if tracked is None:
-            self._tracked[sampler_id] = SamplerBelief(entry)
+            self._tracked[sampler_id] = TrackedSampler(entry)
         else:
             tracked.entry = entry
         return SamplerChange.RESTARTED if restarted else SamplerChange.NONE
 
-    def mark_leaving(self, sampler_id: str) -> bool:
+    def mark_draining(self, sampler_id: str) -> bool:
         """Excludes this incarnation from new requests; returns whether that is new."""
         is_new = sampler_id not in self._leaving
         self._leaving.add(sampler_id)
@@ -101,15 +101,15 @@
         """
         self._tracked.pop(sampler_id, None)
 
-    def get(self, sampler_id: str) -> SamplerBelief | None:
+    def get(self, sampler_id: str) -> TrackedSampler | None:
         """The sampler if it accepts requests, or None."""
         return self._tracked.get(sampler_id)
 
-    def all(self) -> list[SamplerBelief]:
+    def all(self) -> list[TrackedSampler]:
         """All samplers that accept requests."""
         return list(self._tracked.values())
 
-    def of_service(self, service: str) -> list[SamplerBelief]:
+    def of_service(self, service: str) -> list[TrackedSampler]:
         """Samplers of a service that accept requests."""
         return [tracked for tracked in self._tracked.values() if tracked.entry.service == service]
 
@@ -121,16 +121,16 @@
             if not tracked.failures
         }
 
-    def failed(self, sampler_id: str, now: float) -> None:
+    def record_failure(self, sampler_id: str, now: float) -> None:
         """Records a failure: the sampler is avoided for a while."""
         tracked = self._tracked.get(sampler_id)
         if tracked is not None:
             tracked.failures += 1
-            tracked.suspect_until = now + SUSPECT_S
+            tracked.avoid_until = now + FAILURE_COOLDOWN_S
 
-    def answered(self, sampler_id: str) -> None:
+    def record_success(self, sampler_id: str) -> None:
         """Records a response and ends the avoidance."""
         tracked = self._tracked.get(sampler_id)
         if tracked is not None:
             tracked.failures = 0
-            tracked.suspect_until = 0.0
+            tracked.avoid_until = 0.0
--- a/stileloom/proxy/stream_relay.py
+++ b/stileloom/proxy/stream_relay.py
@@ -25,9 +25,9 @@
 from stileloom.http1.response_decoder import ResponseHead
 from stileloom.proxy.admission import suspect_refusal, wait_or_refuse
 from stileloom.proxy.attempt_plan import AttemptPlan
-from stileloom.proxy.lookup import Lookup, LookupAnswer
+from stileloom.proxy.lookup import Lookup, LookupResponse
 from stileloom.proxy.sampler_access import SamplerAccess
-from stileloom.proxy.sampler_table import SamplerBelief
+from stileloom.proxy.sampler_table import TrackedSampler
 
 EVENT_TIMEOUT_S = 1.2
 """A resumable stream is moved to another sampler after this time without data."""
@@ -66,7 +66,7 @@
 
     end: _RunEnd
     detail: str = ""
-    answer: LookupAnswer | None = None
+    answer: LookupResponse | None = None
 
 
 class _ResponseQueue:
@@ -98,13 +98,13 @@
         self._guard = access.guard
         self._pool = ConnectionPool(access.metrics.connection_opened)
 
-    def forget(self, sampler_id: str) -> None:
+    def close_connections(self, sampler_id: str) -> None:
         """Closes the keep-alive connections of a removed sampler."""
-        self._pool.forget(sampler_id)
+        self._pool.close_connections(sampler_id)
 
     async def relay(
         self, lookup: Lookup, route: Route, service: str, writer: StreamWriter
-    ) -> LookupAnswer | None:
+    ) -> LookupResponse | None:
         """Relays a stream; returns None if it started, otherwise a sampler's error response.
 
         Raises `StileloomError` if nothing was sent to the caller.
@@ -145,7 +145,7 @@
 
     def _final_failure(
         self, plan: AttemptPlan, stream: _StreamState, last_run: _Run | None
-    ) -> LookupAnswer | None:
+    ) -> LookupResponse | None:
         if stream.started:
             stream.writer.abort()
             return None
@@ -176,17 +176,17 @@
         self,
         lookup: Lookup,
         plan: AttemptPlan,
-        tracked: SamplerBelief,
+        tracked: TrackedSampler,
         stream: _StreamState,
         resumable: bool,
     ) -> _Run:
         entry = tracked.entry
-        plan.started(entry.sampler_id, steady_time())
+        plan.record_start(entry.sampler_id, steady_time())
         try:
             connection = await self._pool.acquire(entry.sampler_id, entry.address)
         except (OSError, TimeoutError) as error:
-            self._samplers.failed(entry.sampler_id, steady_time())
-            plan.connect_failed(entry.sampler_id)
+            self._samplers.record_failure(entry.sampler_id, steady_time())
+            plan.record_connect_failure(entry.sampler_id)
             return self._log_run(lookup, entry.sampler_id, _Run(_RunEnd.REFUSED, repr(error)))
         tracked.open_requests += 1
         response = _ResponseQueue()
@@ -201,11 +201,11 @@
                 connection.close()
         self._pool.release(entry.sampler_id, connection)
         if run.end is _RunEnd.REFUSED:
-            plan.refused(entry.sampler_id)
+            plan.record_refusal(entry.sampler_id)
         else:
-            plan.ran()
+            plan.record_run()
         if run.end is _RunEnd.BROKEN:
-            self._samplers.failed(entry.sampler_id, steady_time())
+            self._samplers.record_failure(entry.sampler_id, steady_time())
         return self._log_run(lookup, entry.sampler_id, run)
 
     async def _read_response(
@@ -255,7 +255,7 @@
             return _Run(_RunEnd.COMPLETE)
         if head.status == 421 or self._names.not_run in head.headers:
             return _Run(_RunEnd.REFUSED, str(head.status))
-        return _Run(_RunEnd.RESPONSE, str(head.status), LookupAnswer(head, body))
+        return _Run(_RunEnd.RESPONSE, str(head.status), LookupResponse(head, body))
 
     def _log_run(self, lookup: Lookup, sampler_id: str, run: _Run) -> _Run:
         self._metrics.attempts.labels(f"stream_{run.end.value}").inc()
--- a/stileloom/samplers/table.py
+++ b/stileloom/samplers/table.py
@@ -74,7 +74,7 @@
                 self._views[sampler_id] = view
             view.machine = machine
             if machine.state is MachineState.LEAVING:
-                effects += self.mark_leaving(sampler_id)
+                effects += self.mark_draining(sampler_id)
         self._by_pool = {}
         for view in self._views.values():
             self._by_pool.setdefault(view.machine.pool, {})[view.sampler_id] = view
@@ -96,7 +96,7 @@
             view.last_contact_at = now
             view.unreachable = False
             if load.state is EngineState.LEAVING:
-                effects += self.mark_leaving(load.sampler_id)
+                effects += self.mark_draining(load.sampler_id)
         for sampler_id in report.unreachable:
             view = self._views.get(sampler_id)
             if view is not None and not view.unreachable:
@@ -104,7 +104,7 @@
                 self.changes += 1
         return effects
 
-    def mark_leaving(self, sampler_id: str) -> list[Effect]:
+    def mark_draining(self, sampler_id: str) -> list[Effect]:
         """Excludes a sampler from new work, regardless of later reports."""
         view = self._views.get(sampler_id)
         if view is None or view.leaving:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -427,7 +427,7 @@
         "a sampler that does not answer gets as many runs as it has slots",
         "work goes where it runs",
         "stileloom/jobs/scheduler.py",
-        "if sampler.suspect_until > now or (sampler.failures and stats.running):",
+        "if sampler.avoid_until > now or (sampler.failures and stats.running):",
         "if False:",
         "tests/test_item_scheduler.py",
     ),
--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -313,8 +313,8 @@
 
 
 def _address_of(directory: Directory, name: str) -> tuple[str, int] | None:
-    belief = directory.samplers.get(name)
-    return belief.entry.address if belief is not None else None
+    tracked = directory.samplers.get(name)
+    return tracked.entry.address if tracked is not None else None
 
 
 def with_cluster(scenario: Callable[[ServiceCluster], Awaitable[None]]) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -40,7 +40,7 @@
         directory._sampler_changed(ObjectEvent(False, foreign))
         self.assertEqual(["a"], gone)
         self.assertEqual(
-            ["b"], [belief.entry.sampler_id for belief in directory.samplers.of_service("s")]
+            ["b"], [tracked.entry.sampler_id for tracked in directory.samplers.of_service("s")]
         )
         directory._sampler_changed(ObjectEvent(False, ObjectRecord("a", 3, OWN)))
         self.assertEqual(2, len(directory.samplers.of_service("s")))
@@ -48,7 +48,7 @@
     def test_it_hides_no_other_sampler_of_a_list(self) -> None:
         directory = self.directory()
         directory._samplers_listed([ObjectRecord("a", 1, None), ObjectRecord("b", 1, OWN)])
-        self.assertTrue(directory.samplers.listed_once)
+        self.assertTrue(directory.samplers.has_listing)
         self.assertEqual(1, len(directory.samplers.of_service("s")))
 
 
--- a/tests/test_item_scheduler.py
+++ b/tests/test_item_scheduler.py
@@ -14,7 +14,7 @@
 from stileloom.jobs.registry import JobRecord, JobRegistry
 from stileloom.jobs.scheduler import EVENT_TIMEOUT_S, ItemScheduler
 from stileloom.jobs.version_planner import LOAD_DELAY_S, VersionPlanner, max_concurrent_loads
-from stileloom.proxy.sampler_table import SUSPECT_S, SamplerTable
+from stileloom.proxy.sampler_table import FAILURE_COOLDOWN_S, SamplerTable
 
 SERVICE = "engines"
 LATER = 100.0
@@ -177,16 +177,16 @@
     def test_a_sampler_that_does_not_answer_gets_one_run_after_a_while(self) -> None:
         """Guards against repeated connection attempts to samplers that do not answer."""
         fixture = SchedulerFixture(entry("a", slots=4), entry("b", slots=4))
-        fixture.samplers.failed("a", 0.0)
+        fixture.samplers.record_failure("a", 0.0)
         fixture.adopt(record("j", 12))
         self.assertEqual({"b"}, set(fixture.starts(0.0).values()))
-        self.assertEqual({}, fixture.starts(SUSPECT_S - 0.1))
-        probe = fixture.starts(SUSPECT_S + 0.1)
+        self.assertEqual({}, fixture.starts(FAILURE_COOLDOWN_S - 0.1))
+        probe = fixture.starts(FAILURE_COOLDOWN_S + 0.1)
         self.assertEqual(["a"], list(probe.values()))
-        self.assertEqual({}, fixture.starts(SUSPECT_S + 0.2))
+        self.assertEqual({}, fixture.starts(FAILURE_COOLDOWN_S + 0.2))
         (item,) = [fixture.scheduler.items["j", item_id] for item_id in probe]
-        fixture.scheduler.record_event(item, SUSPECT_S + 0.3)
-        self.assertEqual(["a"] * 3, list(fixture.starts(SUSPECT_S + 0.4).values()))
+        fixture.scheduler.record_event(item, FAILURE_COOLDOWN_S + 0.3)
+        self.assertEqual(["a"] * 3, list(fixture.starts(FAILURE_COOLDOWN_S + 0.4).values()))
 
     def test_a_new_leader_resumes_from_saved_events(self) -> None:
         registry = JobRegistry()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -21,7 +21,7 @@
 from stileloom.jobs.registry import PAGE_BYTES, JobRegistry
 from stileloom.proxy.attempt_plan import AttemptPlan
 from stileloom.proxy.route_table import RouteTable
-from stileloom.proxy.sampler_table import SUSPECT_S, SamplerChange, SamplerTable
+from stileloom.proxy.sampler_table import FAILURE_COOLDOWN_S, SamplerChange, SamplerTable
 
 REQUESTS = 200
 
@@ -98,11 +98,11 @@
     def test_a_restart_clears_recorded_failures(self) -> None:
         table = SamplerTable()
         table.replace_all([entry("a", born_ms=1000)])
-        table.failed("a", 5.0)
+        table.record_failure("a", 5.0)
         self.assertEqual(["a"], table.replace_all([entry("a", born_ms=2000)]))
         tracked = table.get("a")
         assert tracked is not None
-        self.assertEqual((0, 0.0), (tracked.failures, tracked.suspect_until))
+        self.assertEqual((0, 0.0), (tracked.failures, tracked.avoid_until))
 
     def test_a_late_entry_of_an_earlier_start_is_ignored(self) -> None:
         table = SamplerTable()
@@ -124,23 +124,23 @@
     def test_a_request_that_may_have_run_is_retried_only_if_repeatable(self) -> None:
         for repeatable in (True, False):
             plan = self.plan(repeatable)
-            plan.started("x", 0.0)
-            plan.ran()
+            plan.record_start("x", 0.0)
+            plan.record_run()
             self.assertEqual(repeatable, plan.may_start())
 
     def test_a_confirmed_refusal_allows_another_attempt(self) -> None:
         plan = self.plan(False)
-        plan.started("x", 0.0)
+        plan.record_start("x", 0.0)
         self.assertFalse(plan.may_start())
-        plan.refused("x")
+        plan.record_refusal("x")
         self.assertTrue(plan.may_start())
 
     def test_runs_never_exceed_max_attempts(self) -> None:
         plan = self.plan(True)
         for name in ("x", "y"):
-            plan.started(name, 0.0)
+            plan.record_start(name, 0.0)
         self.assertFalse(plan.may_start())
-        plan.ran()
+        plan.record_run()
         self.assertFalse(plan.may_start())
 
     def test_own_zone_is_preferred_and_failed_samplers_come_last(self) -> None:
@@ -150,8 +150,8 @@
         chosen = self.plan(True).select_sampler(table, 0.0, rng)
         assert chosen is not None
         self.assertEqual("near", chosen.entry.sampler_id)
-        table.failed("near", 0.0)
-        chosen = self.plan(True).select_sampler(table, SUSPECT_S / 2, rng)
+        table.record_failure("near", 0.0)
+        chosen = self.plan(True).select_sampler(table, FAILURE_COOLDOWN_S / 2, rng)
         assert chosen is not None
         self.assertEqual("far", chosen.entry.sampler_id)
 
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -81,7 +81,7 @@
                 statuses.append(answer.head.status if answer is not None else None)
                 if len(statuses) == 1:
                     proxy.silence_open()
-            pool.forget("s")
+            pool.close_connections("s")
             proxy.stop()
             server.close()
             return statuses
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -79,11 +79,11 @@
             fixture = self.fixture(group_bonus=on)
             fixture.adopt(record("j", 1))
             (item,) = fixture.scheduler.items.values()
-            belief = fixture.samplers.get("fast")
-            assert belief is not None
-            before = fixture.scheduler._cost(item, belief)
+            tracked = fixture.samplers.get("fast")
+            assert tracked is not None
+            before = fixture.scheduler._cost(item, tracked)
             fixture.scheduler.stats("fast").groups.add(item.item.group)
-            self.assertEqual(cost_is_less, fixture.scheduler._cost(item, belief) < before)
+            self.assertEqual(cost_is_less, fixture.scheduler._cost(item, tracked) < before)
 
     def test_kept_texts(self) -> None:
         for on in (True, False):
@@ -125,7 +125,7 @@
 
     def test_hedging(self) -> None:
         plan = AttemptPlan("s", "z", True, 3, 0.2, 0.0)
-        plan.started("a", 1.0)
+        plan.record_start("a", 1.0)
         self.assertLess(plan.hedge_at(), 2.0)
         plan.hedges = False
         self.assertEqual(float("inf"), plan.hedge_at())
