--- a/examples/embed_ledger.py
+++ b/examples/embed_ledger.py
@@ -5,7 +5,7 @@
 import random
 
 from stileloom.effects import Send
-from stileloom.ledger import Applied, LedgerReplica, Persist, ReplicaRole, fresh_ledger
+from stileloom.ledger import Applied, LedgerReplica, Persist, ReplicaRole, empty_ledger
 from stileloom.ledger.commands import RaiseConfigurationFloor, Voter
 
 
@@ -13,7 +13,7 @@
     """Drives three parts with a loop instead of sockets and disks."""
     voters = [Voter(name, f"disk-{name}") for name in ("red", "green", "blue")]
     replicas = {
-        voter.node_id: LedgerReplica(voter, fresh_ledger(voters), random.Random(number), 0.0)
+        voter.node_id: LedgerReplica(voter, empty_ledger(voters), random.Random(number), 0.0)
         for number, voter in enumerate(voters)
     }
     applied = 0
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -185,4 +185,4 @@
         """Whether the node has left the voter set, by a committed change."""
         in_state = {voter.node_id for voter in self._driver.state.voters}
         in_log = {voter.node_id for voter in self._driver.replica.voters}
-        return node_id not in in_state | in_log and self._driver.may_act()
+        return node_id not in in_state | in_log and self._driver.is_active_leader()
--- a/stileloom/daemon/ledger_driver.py
+++ b/stileloom/daemon/ledger_driver.py
@@ -78,11 +78,11 @@
 
     def hand_over(self) -> None:
         """Gives leadership to another replica, if this one has it."""
-        self._run(self.replica.hand_over(steady_time()))
+        self._run(self.replica.transfer_leadership(steady_time()))
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica leads and holds its lease now."""
-        return not self._stopped and self.replica.may_act(steady_time())
+        return not self._stopped and self.replica.is_active_leader(steady_time())
 
     def leader_address(self) -> tuple[str, int] | None:
         """Where the leader is, as far as this replica knows."""
@@ -91,16 +91,16 @@
             return None
         if leader == self.replica.me.node_id:
             return (self._me.host, self._me.port)
-        return self._addresses.of(leader)
+        return self._addresses.address_of(leader)
 
     def learn_address(self, node_id: str, address: tuple[str, int]) -> None:
         """The store says where a node is."""
-        self._addresses.listed(node_id, address)
+        self._addresses.add_registered(node_id, address)
 
     def misses_peers(self) -> bool:
         """Whether a voter's address is not known, or nobody leads as far as is known."""
         others = [voter.node_id for voter in self.replica.voters if voter != self.replica.me]
-        unknown = any(self._addresses.of(node_id) is None for node_id in others)
+        unknown = any(self._addresses.address_of(node_id) is None for node_id in others)
         return unknown or self.replica.leader is None
 
     async def propose(self, command: Command) -> CommandResult:
@@ -118,7 +118,7 @@
     def _tick(self) -> None:
         now = steady_time()
         self._run(self.replica.tick(now))
-        alone = not self.replica.is_voter and not self.replica.hears_leader(now)
+        alone = not self.replica.is_voter and not self.replica.has_leader_contact(now)
         if alone and now >= self._next_hello_at:
             self._next_hello_at = now + HELLO_INTERVAL_S
             self._say_hello()
@@ -126,7 +126,7 @@
     def _say_hello(self) -> None:
         """A replica outside the voter set that knows no leader asks every address it knows."""
         hello = LearnerHello(self.replica.me)
-        for address in self._addresses.everyone():
+        for address in self._addresses.all_addresses():
             self._network.send(address, hello)
 
     def _received(self, sender: str, message: object) -> None:
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -214,8 +214,8 @@
     def _step(self) -> None:
         assert self._driver is not None
         self._cache.drop_idle()
-        self._order_windows.learned(self._driver.state.order_windows, steady_time())
-        leads = self._driver.may_act()
+        self._order_windows.observe(self._driver.state.order_windows, steady_time())
+        leads = self._driver.is_active_leader()
         if self._leadership is not None:
             current = self._leadership.epoch == self._driver.replica.epoch
             if not leads or not current:
@@ -238,9 +238,9 @@
         if registry.revision != self._guard.view.revision:
             self._guard.apply_listing(registry.listing(time.time()))
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this node's replica leads."""
-        return self._driver is not None and self._driver.may_act()
+        return self._driver is not None and self._driver.is_active_leader()
 
     def quarantine(self) -> QuarantineRegistry:
         """Requests under which samplers ended, as far as this replica knows."""
@@ -275,7 +275,7 @@
         if not self._settings.switches.order_windows:
             return steady_time() + lease_s
         node_id = self._settings.node_id
-        return self._order_windows.orders_from(state.last_order_holder, node_id, lease_s)
+        return self._order_windows.earliest_order_at(state.last_order_holder, node_id, lease_s)
 
     def _stop_leading(self, reason: str) -> None:
         if self._leadership is None:
@@ -308,9 +308,9 @@
         """The replicated state."""
         return self._driver.state
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica leads."""
-        return self._driver.may_act()
+        return self._driver.is_active_leader()
 
     def leader_address(self) -> tuple[str, int] | None:
         """Where the leader takes calls."""
--- a/stileloom/daemon/ledger_start.py
+++ b/stileloom/daemon/ledger_start.py
@@ -12,8 +12,8 @@
 from stileloom.daemon.ledger_driver import LedgerDriver
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.events import LogEvent
-from stileloom.ledger import fresh_ledger
-from stileloom.ledger.bootstrap import VoterSetRecord, enter_voter_set
+from stileloom.ledger import empty_ledger
+from stileloom.ledger.bootstrap import VoterSetRecord, join_voter_set
 from stileloom.ledger.commands import Voter
 from stileloom.ledger.recovered import RecoveredLedger
 from stileloom.ledger.registration import LedgerRegistration, read_registrations
@@ -74,8 +74,8 @@
         voters = await agree_on_voters(store, voter_set_kind, identity, settings.voters)
     if identity not in voters:
         log.emit(LogEvent.VOTER_WITHOUT_DISK, {"disk": identity.disk_id})
-    recovered = fresh_ledger(voters)
-    storage.start_fresh(recovered)
+    recovered = empty_ledger(voters)
+    storage.initialize(recovered)
     return OpenedLedger(identity, recovered, storage)
 
 
@@ -89,7 +89,7 @@
             current = msgspec.convert(record.spec, VoterSetRecord) if record is not None else None
             if current is not None and current.sealed:
                 return current.voters
-            entered = enter_voter_set(current, me, target_count)
+            entered = join_voter_set(current, me, target_count)
             if entered is not None:
                 spec = msgspec.to_builtins(entered)
                 if record is None:
--- a/stileloom/daemon/process.py
+++ b/stileloom/daemon/process.py
@@ -18,7 +18,7 @@
 from stileloom.daemon.shell import Shell
 from stileloom.events import LogEvent
 from stileloom.http.application import make_application
-from stileloom.ledger import LedgerReplica, fresh_ledger
+from stileloom.ledger import LedgerReplica, empty_ledger
 from stileloom.ledger.commands import Voter
 from stileloom.ledger.recovered import RecoveredLedger
 from stileloom.ledger.storage import LedgerStorage
@@ -98,8 +98,8 @@
     voters = await agree_on_voters(store, VOTER_SET_KIND, identity, settings.ledger.voters)
     if identity not in voters:
         log.emit(LogEvent.VOTER_WITHOUT_DISK, {"disk": identity.disk_id})
-    recovered = fresh_ledger(voters)
-    storage.start_fresh(recovered)
+    recovered = empty_ledger(voters)
+    storage.initialize(recovered)
     return identity, recovered
 
 
--- a/stileloom/emulator/ledger_bench.py
+++ b/stileloom/emulator/ledger_bench.py
@@ -16,7 +16,7 @@
 from stileloom.daemon.shell import Shell
 from stileloom.emulator.deployment import PortAllocator
 from stileloom.errors import ErrorKind, StileloomError
-from stileloom.ledger import LedgerReplica, fresh_ledger
+from stileloom.ledger import LedgerReplica, empty_ledger
 from stileloom.ledger.commands import (
     AcknowledgeDeliveries,
     CommitSample,
@@ -72,8 +72,8 @@
         storage = LedgerStorage(folder)
         recovered = storage.recover()
         if recovered is None:
-            recovered = fresh_ledger(self._voters)
-            storage.start_fresh(recovered)
+            recovered = empty_ledger(self._voters)
+            storage.initialize(recovered)
         port = self._ports[name]
         incarnation = time.time_ns() // 1_000_000
         member = Member(name, name, "region", "127.0.0.1", port, 0, incarnation, voter=True)
@@ -92,7 +92,7 @@
         """Returns the current leader, or None."""
         for shell in self.shells.values():
             replica = shell.core.replica
-            if replica is not None and replica.may_act(shell.now()):
+            if replica is not None and replica.is_active_leader(shell.now()):
                 return shell
         return None
 
--- a/stileloom/jobs/leader_ledger.py
+++ b/stileloom/jobs/leader_ledger.py
@@ -10,7 +10,7 @@
 class LeaderLedger(Protocol):
     """Commits commands during one leadership."""
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica is the leader and holds its lease."""
 
     async def propose(self, command: Command) -> CommandResult:
--- a/stileloom/jobs/order_window.py
+++ b/stileloom/jobs/order_window.py
@@ -23,12 +23,12 @@
 
     def is_open(self) -> bool:
         """Whether an order may be sent now; the process may have been suspended in between."""
-        return self._ledger.may_act() and steady_time() < self._closes_at
+        return self._ledger.is_active_leader() and steady_time() < self._closes_at
 
     async def open(self) -> bool:
         """Ensures that a window with enough time is open; returns False if that failed."""
         proposed_at = steady_time()
-        if self._ledger.may_act() and proposed_at < self._closes_at - MIN_REMAINING_S:
+        if self._ledger.is_active_leader() and proposed_at < self._closes_at - MIN_REMAINING_S:
             return True
         try:
             await self._ledger.propose(OpenOrderWindow(self._node_id))
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -179,7 +179,7 @@
 
         Checked before each send, because the process may have been suspended since its last step.
         """
-        return not self._stopped and self._ledger.may_act()
+        return not self._stopped and self._ledger.is_active_leader()
 
     # Scheduling loop.
 
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -65,7 +65,7 @@
 
     async def handle(self, request: JobRequest) -> JobReply:
         """Handles one call."""
-        if not self._ledger.may_act():
+        if not self._ledger.is_active_leader():
             return self._not_leader()
         if isinstance(request, SubmitJobCall):
             return await self._submit(request)
@@ -135,7 +135,7 @@
             except TimeoutError:
                 break
             job = self._job(request.job_id)
-        if not self._ledger.may_act():
+        if not self._ledger.is_active_leader():
             return self._not_leader()
         job = self._job(request.job_id)
         if job is None:
--- a/stileloom/ledger/__init__.py
+++ b/stileloom/ledger/__init__.py
@@ -2,7 +2,7 @@
 
 from stileloom.ledger.client import CommandFinished, LedgerClient
 from stileloom.ledger.effects import Applied, Dropped, Persist
-from stileloom.ledger.recovered import RecoveredLedger, fresh_ledger
+from stileloom.ledger.recovered import RecoveredLedger, empty_ledger
 from stileloom.ledger.replica import LedgerReplica, ReplicaRole
 from stileloom.ledger.state import LedgerState
 
@@ -16,5 +16,5 @@
     "Persist",
     "RecoveredLedger",
     "ReplicaRole",
-    "fresh_ledger",
+    "empty_ledger",
 ]
--- a/stileloom/ledger/bootstrap.py
+++ b/stileloom/ledger/bootstrap.py
@@ -25,7 +25,7 @@
         return len(self.voters) >= self.target_count
 
 
-def enter_voter_set(
+def join_voter_set(
     current: VoterSetRecord | None, me: Voter, target_count: int
 ) -> VoterSetRecord | None:
     """The record that replaces `current`, or None if no write is needed."""
--- a/stileloom/ledger/client.py
+++ b/stileloom/ledger/client.py
@@ -55,7 +55,7 @@
                 del self._pending[ticket]
                 effects.append(CommandFinished(ticket, None))
             elif now >= pending.retry_at:
-                self._tracker.silent(pending.sent_to)
+                self._tracker.mark_unresponsive(pending.sent_to)
                 effects += self._send(now, ticket)
         return effects
 
@@ -71,7 +71,7 @@
         return self._send_to(now, message.ticket, message.leader)
 
     def _send(self, now: float, ticket: int) -> list[Effect]:
-        target = self._tracker.ask(now)
+        target = self._tracker.next_target(now)
         if target is None:
             self._pending[ticket].retry_at = now + constants.COMMAND_RETRY_INTERVAL_S
             return []
--- a/stileloom/ledger/leader_tracker.py
+++ b/stileloom/ledger/leader_tracker.py
@@ -26,7 +26,7 @@
         self._last_report_at = float("-inf")
         self._rotation = 0
 
-    def heard(self, now: float, leader: str, epoch: int) -> None:
+    def update(self, now: float, leader: str, epoch: int) -> None:
         """Records the leader of an epoch as reported by a node."""
         if not leader or epoch < self._epoch:
             return
@@ -34,7 +34,7 @@
         self._epoch = epoch
         self._last_report_at = now
 
-    def silent(self, leader: str) -> None:
+    def mark_unresponsive(self, leader: str) -> None:
         """The node did not reply; if it is the known leader, the leader becomes unknown."""
         if leader == self._leader:
             self._leader = None
@@ -45,7 +45,7 @@
             return None
         return self._leader
 
-    def ask(self, now: float) -> str | None:
+    def next_target(self, now: float) -> str | None:
         """The node to contact: the leader if known, else the voters in rotation."""
         known = self.leader(now)
         if known is not None:
--- a/stileloom/ledger/order_windows.py
+++ b/stileloom/ledger/order_windows.py
@@ -25,13 +25,13 @@
     observed_at: float = float("-inf")
     """When the newest window was first observed."""
 
-    def learned(self, opened: int, now: float) -> None:
+    def observe(self, opened: int, now: float) -> None:
         """Records the number of windows in the ledger's current state."""
         if opened != self.opened:
             self.opened = opened
             self.observed_at = now
 
-    def orders_from(self, last_holder: str, node_id: str, lease_s: float) -> float:
+    def earliest_order_at(self, last_holder: str, node_id: str, lease_s: float) -> float:
         """Earliest time of this node's first order as a new leader."""
         if last_holder in ("", node_id):
             return float("-inf")
--- a/stileloom/ledger/peer_addresses.py
+++ b/stileloom/ledger/peer_addresses.py
@@ -23,16 +23,16 @@
         """Records the sender address of a frame; it replaces any earlier address."""
         self._by_node[node_id] = address
 
-    def listed(self, node_id: str, address: Address) -> None:
+    def add_registered(self, node_id: str, address: Address) -> None:
         """Records an address from the object store; addresses from frames take precedence."""
         self._by_node.setdefault(node_id, address)
         self._unnamed.add(address)
 
-    def of(self, node_id: str) -> Address | None:
+    def address_of(self, node_id: str) -> Address | None:
         """The address of a node, or None if unknown."""
         return self._by_node.get(node_id)
 
-    def everyone(self) -> list[Address]:
+    def all_addresses(self) -> list[Address]:
         """All known addresses except this node's own."""
         return sorted({*self._by_node.values(), *self._unnamed} - {self._me})
 
@@ -42,4 +42,4 @@
         if known is not None:
             return [known]
         named = set(self._by_node.values())
-        return [address for address in self.everyone() if address not in named]
+        return [address for address in self.all_addresses() if address not in named]
--- a/stileloom/ledger/recovered.py
+++ b/stileloom/ledger/recovered.py
@@ -19,7 +19,7 @@
     """Entries up to this index are known to be committed."""
 
 
-def fresh_ledger(voters: list[Voter]) -> RecoveredLedger:
+def empty_ledger(voters: list[Voter]) -> RecoveredLedger:
     """An empty ledger; `voters` is the initial voter set, identical on every node."""
     state = LedgerState(voters=voters)
     snapshot = SnapshotRecord(0, 0, voters, msgspec.msgpack.encode(state))
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -133,7 +133,7 @@
         """Whether this replica, with its current disk, is in the voter set."""
         return self.me in self.voters
 
-    def may_act(self, now: float) -> bool:
+    def is_active_leader(self, now: float) -> bool:
         """Whether this replica leads, holds its lease and has applied an entry of its epoch."""
         if self.role is not ReplicaRole.LEADER:
             return False
@@ -141,7 +141,7 @@
             return False
         return now < self.lease_expires_at(now)
 
-    def hears_leader(self, now: float) -> bool:
+    def has_leader_contact(self, now: float) -> bool:
         """Whether a known leader has contacted this replica recently."""
         return self.leader is not None and now < (
             self._last_leader_contact_at + constants.LEADER_CONTACT_TIMEOUT_S
@@ -158,7 +158,7 @@
     def tick(self, now: float) -> list[Effect]:
         """Runs elections, heartbeats and voter set changes that are due."""
         if self.role is ReplicaRole.LEADER and self._is_removed_leader(now):
-            return self.hand_over(now)
+            return self.transfer_leadership(now)
         if self.role is ReplicaRole.LEADER:
             effects = self._replicate_to_standbys(now) + self._change_voters(now)
             if now >= self._next_heartbeat_at:
@@ -213,7 +213,7 @@
             return self._on_hand_over(now, sender, message)
         return []
 
-    def hand_over(self, now: float) -> list[Effect]:
+    def transfer_leadership(self, now: float) -> list[Effect]:
         """Steps down and transfers leadership to the most up-to-date follower.
 
         Source: Ongaro's dissertation, section 3.10.
@@ -521,7 +521,9 @@
     def _is_removed_leader(self, now: float) -> bool:
         """Whether this leader is not in the voter set and its complete log is committed."""
         return (
-            not self.is_voter and self.may_act(now) and self._commit_index == self._log.last_index
+            not self.is_voter
+            and self.is_active_leader(now)
+            and self._commit_index == self._log.last_index
         )
 
     def _on_identity_question(self, sender: str, message: IdentityQuestion) -> list[Effect]:
@@ -555,7 +557,7 @@
             return []
         self._next_hello_at = now + constants.STANDBY_ANNOUNCE_INTERVAL_S
         targets = {voter.node_id for voter in self.voters}
-        if self.leader is not None and self.hears_leader(now):
+        if self.leader is not None and self.has_leader_contact(now):
             targets = {self.leader}
         hello = LearnerHello(self.me)
         return [Send(target, hello) for target in sorted(targets - {self.me.node_id})]
@@ -581,7 +583,7 @@
 
         Requires the lease: without it this node may itself be partitioned from the others.
         """
-        if not self.may_act(now):
+        if not self.is_active_leader(now):
             return []
         if self._switches.standbys:
             selected = self._standbys.select_replacements(
@@ -609,7 +611,7 @@
 
         Requires the lease: without it this node may itself be partitioned from the others.
         """
-        if not self.may_act(now):
+        if not self.is_active_leader(now):
             return []
         committed = self._log.voters_at(self._commit_index) == self.voters
         if not committed or self._log.epoch_at(self._applied_index) != self.epoch:
--- a/stileloom/ledger/storage.py
+++ b/stileloom/ledger/storage.py
@@ -123,7 +123,7 @@
 
     # Writing.
 
-    def start_fresh(self, recovered: RecoveredLedger) -> None:
+    def initialize(self, recovered: RecoveredLedger) -> None:
         """Writes the initial snapshot."""
         self._replace(SNAPSHOT_NAME, msgspec.msgpack.encode(recovered.snapshot))
         self._open_journal()
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -178,7 +178,7 @@
         effects += self.membership.tick(now)
         effects += self.client.tick(now)
         effects += self._tick_replica(now)
-        contact = leader if leader is not None else self.tracker.ask(now)
+        contact = leader if leader is not None else self.tracker.next_target(now)
         effects += self.configuration.tick(now, self.ownership.readers(), contact)
         self._tick_ownership(now)
         effects += self.owner.tick(now, leader, self.ownership.gateways_by_sampler)
@@ -220,9 +220,9 @@
 
     def _on_configuration_message(self, now: float, sender: str, message: object) -> list[Effect]:
         if isinstance(message, GrantReply):
-            self.tracker.heard(now, sender, message.epoch)
+            self.tracker.update(now, sender, message.epoch)
         if isinstance(message, RenewReply):
-            self.tracker.heard(now, message.leader, message.epoch)
+            self.tracker.update(now, message.leader, message.epoch)
         return self.configuration.handle(now, sender, message)
 
     def _on_ledger_message(self, now: float, sender: str, message: object) -> list[Effect]:
@@ -248,7 +248,7 @@
 
     def _on_leader_hint(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, LeaderHint)
-        self.tracker.heard(now, message.leader, message.epoch)
+        self.tracker.update(now, message.leader, message.epoch)
         return []
 
     def _on_grant_request(self, now: float, sender: str, message: object) -> list[Effect]:
@@ -304,7 +304,7 @@
     # Component timers.
 
     def _may_act(self, now: float) -> bool:
-        return self.replica is not None and self.replica.may_act(now)
+        return self.replica is not None and self.replica.is_active_leader(now)
 
     def _admits_rollouts(self, now: float) -> bool:
         return self.configuration.store.lease_valid(now) and not self.draining
@@ -396,7 +396,7 @@
         self, now: float, configuration: Configuration | None
     ) -> list[Effect]:
         """Completes `FetchConfiguration`; None if there is no newer revision or the API failed."""
-        leader = self.leader(now) or self.tracker.ask(now)
+        leader = self.leader(now) or self.tracker.next_target(now)
         return self._process_effects(
             now, self.configuration.configuration_fetched(now, configuration, leader)
         )
@@ -473,7 +473,7 @@
         return self._ask_leader(now, StatusRequest(ticket))
 
     def _ask_leader(self, now: float, message: object) -> list[Effect]:
-        leader = self.leader(now) or self.tracker.ask(now)
+        leader = self.leader(now) or self.tracker.next_target(now)
         return self._process_effects(now, [Send(leader, message)]) if leader is not None else []
 
     def drain(self, now: float) -> list[Effect]:
--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -27,7 +27,7 @@
 class ReplicatedRegistry(Protocol):
     """The part of the ledger that the quarantine uses."""
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica is the leader and holds its lease."""
 
     def quarantine(self) -> QuarantineRegistry:
@@ -107,7 +107,7 @@
         quarantined = {
             identity for identity in registry.suspects if registry.is_quarantined(identity)
         }
-        if self._ledger.may_act():
+        if self._ledger.is_active_leader():
             for identity in quarantined - self._logged_quarantined:
                 crashes = sorted(registry.suspects[identity].ends)
                 self._log.emit(LogEvent.REQUEST_HELD, {"identity": identity, "ends": crashes})
@@ -120,7 +120,7 @@
 
     def _leader_registry(self) -> QuarantineRegistry:
         """The leader's registry. Raises `StileloomError` on any other replica."""
-        if not self._ledger.may_act():
+        if not self._ledger.is_active_leader():
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "this replica is not the leader")
         return self._ledger.quarantine()
 
--- a/stileloom/simulator/cluster.py
+++ b/stileloom/simulator/cluster.py
@@ -9,7 +9,7 @@
 from stileloom.api.objects import Machine, MachineState, ObjectKind, SamplerRole
 from stileloom.emulator.engine_model import EngineModel, EngineParameters
 from stileloom.events import LogEvent
-from stileloom.ledger import fresh_ledger
+from stileloom.ledger import empty_ledger
 from stileloom.ledger.commands import Voter
 from stileloom.membership import Member
 from stileloom.rollout import Mechanism, SchedulerKind
@@ -142,7 +142,7 @@
         seeds = [member for member in members if member.node_id in by_node]
         for member in members:
             voter = by_node.get(member.node_id)
-            disk = SimulatedDisk(voter, fresh_ledger(voters)) if voter is not None else None
+            disk = SimulatedDisk(voter, empty_ledger(voters)) if voter is not None else None
             self.directory.machines[member.node_id] = SimulatedMachine(
                 self.world,
                 self.network,
@@ -179,7 +179,7 @@
             core = machine.core
             if core is None or machine.paused or core.replica is None:
                 continue
-            if core.replica.may_act(self.world.now):
+            if core.replica.is_active_leader(self.world.now):
                 return name
         return None
 
@@ -198,7 +198,7 @@
             core = machine.core
             if core is None or machine.paused:
                 continue
-            leads = core.replica is not None and core.replica.may_act(now)
+            leads = core.replica is not None and core.replica.is_active_leader(now)
             if leads and core.authority is not None:
                 self.oracle.in_force(core.authority.in_force)
         for machine in self.directory.machines.values():
@@ -258,7 +258,7 @@
         machine.kill()
         first = [Voter(f"{zone}-1", f"disk-{zone}") for zone in self.plan.zones]
         identity = Voter(name, f"disk-{name}-{self.world.rng.getrandbits(32)}")
-        machine.disk = SimulatedDisk(identity, fresh_ledger(first))
+        machine.disk = SimulatedDisk(identity, empty_ledger(first))
         machine.start()
 
     def pause(self, name: str, seconds: float) -> None:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -48,10 +48,10 @@
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             window = leader._leadership.runner._loader._window
-            self.assertTrue(leader.may_act())
+            self.assertTrue(leader.is_active_leader())
             self.assertTrue(await window.open())
             with suspended(SLEEP_S):
-                self.assertFalse(leader.may_act())
+                self.assertFalse(leader.is_active_leader())
                 self.assertFalse(window.is_open())
 
         with_cluster(scenario)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,8 +16,8 @@
 from stileloom.effects import Effect, Send
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.jobs.order_window import OrderWindow
-from stileloom.ledger import LedgerReplica, LedgerState, Persist, fresh_ledger
-from stileloom.ledger.bootstrap import VoterSetRecord, enter_voter_set
+from stileloom.ledger import LedgerReplica, LedgerState, Persist, empty_ledger
+from stileloom.ledger.bootstrap import VoterSetRecord, join_voter_set
 from stileloom.ledger.commands import (
     AcknowledgeDeliveries,
     ChangeVoters,
@@ -75,7 +75,7 @@
 
     def replica(self, me: Voter) -> LedgerReplica:
         """A replica at time 0."""
-        return LedgerReplica(me, fresh_ledger(VOTERS), random.Random(1), 0.0)
+        return LedgerReplica(me, empty_ledger(VOTERS), random.Random(1), 0.0)
 
     def test_an_append_is_acknowledged_only_once_it_is_durable(self) -> None:
         replica = self.replica(VOTERS[1])
@@ -145,12 +145,12 @@
     def test_the_initial_voter_set_is_sealed_when_complete(self) -> None:
         record = None
         for voter in VOTERS:
-            record = enter_voter_set(record, voter, 3)
+            record = join_voter_set(record, voter, 3)
         assert record is not None
         self.assertTrue(record.sealed)
-        self.assertIsNone(enter_voter_set(record, Voter("a", "new"), 3))
+        self.assertIsNone(join_voter_set(record, Voter("a", "new"), 3))
         incomplete = VoterSetRecord(3, VOTERS[:1])
-        again = enter_voter_set(incomplete, Voter("a", "new"), 3)
+        again = join_voter_set(incomplete, Voter("a", "new"), 3)
         assert again is not None
         self.assertEqual([Voter("a", "new")], again.voters)
 
@@ -173,7 +173,7 @@
     def test_recovery_returns_the_written_state(self) -> None:
         storage = self.storage()
         storage.write_identity(VOTERS[0])
-        storage.start_fresh(fresh_ledger(VOTERS))
+        storage.initialize(empty_ledger(VOTERS))
         storage.write(
             [
                 Persist(1, hard_state=HardState(3, VOTERS[0])),
@@ -190,13 +190,13 @@
 
     def test_the_commit_index_is_recovered_after_a_restart(self) -> None:
         storage = self.storage()
-        storage.start_fresh(fresh_ledger(VOTERS))
+        storage.initialize(empty_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1), entry(2)], commit_index=1)])
         later = [Persist(2, commit_index=2)]
         with mock.patch("os.fsync", side_effect=OSError(errno.EIO, "bad")):
             self.assertRaises(OSError, storage.write, later)
         storage.write(later)
-        fresh = fresh_ledger(VOTERS)
+        fresh = empty_ledger(VOTERS)
         snapshot = type(fresh.snapshot)(1, 1, VOTERS, fresh.snapshot.state)
         for more in ([], [Persist(3, snapshot=snapshot)]):
             storage.write(more)
@@ -206,7 +206,7 @@
 
     def test_a_torn_or_corrupt_last_record_is_truncated(self) -> None:
         storage = self.storage()
-        storage.start_fresh(fresh_ledger(VOTERS))
+        storage.initialize(empty_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1)])])
         storage.write([Persist(2, entries=[entry(2)])])
         path = self.folder / JOURNAL_NAME
@@ -220,7 +220,7 @@
     def test_a_failed_write_can_be_retried(self) -> None:
         """Partial writes and failed syncs must leave no damaged record in the journal."""
         storage = self.storage()
-        storage.start_fresh(fresh_ledger(VOTERS))
+        storage.initialize(empty_ledger(VOTERS))
         storage.write([Persist(1, entries=[entry(1)])])
         batch = [Persist(2, hard_state=HardState(4, None), entries=[entry(2), entry(3)])]
         real_write = os.write
@@ -243,8 +243,8 @@
 
     def test_a_failed_snapshot_can_be_retried(self) -> None:
         storage = self.storage()
-        fresh = fresh_ledger(VOTERS)
-        storage.start_fresh(fresh)
+        fresh = empty_ledger(VOTERS)
+        storage.initialize(fresh)
         storage.write([Persist(1, entries=[entry(1), entry(2)])])
         snapshot = type(fresh.snapshot)(1, 1, VOTERS, fresh.snapshot.state)
         batch = [Persist(2, snapshot=snapshot), Persist(3, entries=[entry(3)])]
@@ -259,8 +259,8 @@
 
     def test_a_snapshot_replaces_the_journal_entries_it_covers(self) -> None:
         storage = self.storage()
-        fresh = fresh_ledger(VOTERS)
-        storage.start_fresh(fresh)
+        fresh = empty_ledger(VOTERS)
+        storage.initialize(fresh)
         storage.write([Persist(1, hard_state=HardState(2, None), entries=[entry(1), entry(2)])])
         snapshot = type(fresh.snapshot)(1, 1, VOTERS, fresh.snapshot.state)
         storage.write([Persist(2, snapshot=snapshot)])
@@ -348,7 +348,7 @@
 
     def test_the_successor_is_elected_immediately_and_the_old_leader_steps_down(self) -> None:
         replicas = {
-            voter.node_id: LedgerReplica(voter, fresh_ledger(VOTERS), random.Random(n), 0.0)
+            voter.node_id: LedgerReplica(voter, empty_ledger(VOTERS), random.Random(n), 0.0)
             for n, voter in enumerate(VOTERS)
         }
         now = LATER
@@ -365,17 +365,17 @@
         deliver("a", replicas["a"].tick(now))
         now += 0.2
         deliver("a", replicas["a"].tick(now))
-        self.assertTrue(replicas["a"].may_act(now))
+        self.assertTrue(replicas["a"].is_active_leader(now))
         # The followers have a current leader and would not vote without the transfer.
-        deliver("a", replicas["a"].hand_over(now))
-        self.assertFalse(replicas["a"].may_act(now))
+        deliver("a", replicas["a"].transfer_leadership(now))
+        self.assertFalse(replicas["a"].is_active_leader(now))
         leaders = [name for name, replica in replicas.items() if replica.role.value == "leader"]
         self.assertEqual(1, len(leaders))
         self.assertNotEqual(["a"], leaders)
         self.assertGreater(replicas[leaders[0]].epoch, 1)
 
     def test_a_transfer_is_accepted_only_from_the_leader_of_the_epoch(self) -> None:
-        replica = LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0)
+        replica = LedgerReplica(VOTERS[1], empty_ledger(VOTERS), random.Random(1), 0.0)
         replica.handle(LATER, "a", AppendRequest(1, VOTERS[0], 0, 0, [], 0, nonce=1))
         self.assertEqual([], replica.handle(LATER, "c", HandOverMessage(1)))
         self.assertEqual([], replica.handle(LATER, "a", HandOverMessage(2)))
@@ -386,7 +386,7 @@
 
     def leader(self) -> tuple[LedgerReplica, float]:
         """A leader of epoch 1 that both followers have confirmed."""
-        replica = LedgerReplica(VOTERS[0], fresh_ledger(VOTERS), random.Random(1), 0.0)
+        replica = LedgerReplica(VOTERS[0], empty_ledger(VOTERS), random.Random(1), 0.0)
         now = LATER
         replica.tick(now)
         replica.handle(now, "b", VoteReply(1, VOTERS[1], True, True))
@@ -467,10 +467,10 @@
         self.assertEqual(
             (1, 0, []), (announcement.epoch, announcement.previous_index, announcement.entries)
         )
-        standby = LedgerReplica(Voter("d", "disk-d"), fresh_ledger([]), random.Random(1), now)
+        standby = LedgerReplica(Voter("d", "disk-d"), empty_ledger([]), random.Random(1), now)
         standby.handle(now, "a", announcement)
         self.assertEqual("a", standby.leader)
-        self.assertTrue(standby.hears_leader(now))
+        self.assertTrue(standby.has_leader_contact(now))
         for _ in range(10):
             now += 0.1
             effects = replica.tick(now)
@@ -480,7 +480,7 @@
     def test_a_standby_replaces_an_unresponsive_voter(self) -> None:
         replica, now = self.leader()
         now, sent = self.run_without_c(replica, now)
-        self.assertTrue(replica.may_act(now))
+        self.assertTrue(replica.is_active_leader(now))
         learner = Voter("d", "disk-d")
         probe = sent[-1]
         replica.handle(now, "d", AppendReply(1, learner, True, replica.commit_index, probe.nonce))
@@ -506,13 +506,13 @@
         replica.handle(
             now, "d", AppendReply(1, learner, True, replica.commit_index, sent[-1].nonce)
         )
-        self.assertFalse(replica.may_act(now))
+        self.assertFalse(replica.is_active_leader(now))
         before = replica.voters
         replica.tick(now)
         self.assertEqual(before, replica.voters)
 
     def test_the_conflict_hint_skips_all_entries_of_the_conflicting_epoch(self) -> None:
-        replica = LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0)
+        replica = LedgerReplica(VOTERS[1], empty_ledger(VOTERS), random.Random(1), 0.0)
         old = [entry(index, epoch=1) for index in range(1, 31)]
         effects = replica.handle(LATER, "a", AppendRequest(1, VOTERS[0], 0, 0, old, 4, nonce=1))
         replica.persisted(LATER, [e for e in effects if isinstance(e, Persist)][-1].write_id)
@@ -530,7 +530,7 @@
     def survivor(self, committed: bool) -> LedgerReplica:
         """Voter a after a restart; its log removes c from the voter set."""
         change = Entry(2, 1, ChangeVoters(VOTERS[:2]))
-        recovered = fresh_ledger(VOTERS)
+        recovered = empty_ledger(VOTERS)
         recovered.hard_state = HardState(1, VOTERS[0])
         recovered.entries = [entry(1), change]
         recovered.commit_index = 2 if committed else 1
@@ -564,7 +564,7 @@
         replica.handle(9.0, "b", LearnerHello(other, nonce))
         self.run_elections(replica, 9.0)
         self.assertIs(ReplicaRole.LEADER, replica.role)
-        self.assertTrue(replica.may_act(14.0))
+        self.assertTrue(replica.is_active_leader(14.0))
 
     def test_a_delayed_hello_is_no_proof_of_a_lost_disk(self) -> None:
         replica = self.survivor(committed=True)
@@ -593,7 +593,7 @@
         self.assertIs(ReplicaRole.LEADER, replica.role)
 
     def test_a_removed_voter_keeps_granting_votes(self) -> None:
-        recovered = fresh_ledger(VOTERS)
+        recovered = empty_ledger(VOTERS)
         recovered.entries = [entry(1), Entry(2, 1, ChangeVoters(VOTERS[:2]))]
         recovered.commit_index = 2
         replica = LedgerReplica(VOTERS[2], recovered, random.Random(3), 0.0)
@@ -606,7 +606,7 @@
 
     def test_a_voter_that_was_left_out_leads_until_a_voter_has_its_longer_log(self) -> None:
         """Only c holds the last entry; a lost its disk before b received it."""
-        recovered = fresh_ledger(VOTERS)
+        recovered = empty_ledger(VOTERS)
         recovered.hard_state = HardState(1, VOTERS[0])
         recovered.entries = [entry(1), Entry(2, 1, ChangeVoters(VOTERS[:2])), entry(3)]
         recovered.commit_index = 2
@@ -629,16 +629,16 @@
         question = IdentityQuestion(5)
         self.assertEqual(
             [],
-            LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0).handle(
+            LedgerReplica(VOTERS[1], empty_ledger(VOTERS), random.Random(1), 0.0).handle(
                 0.0, "a", question
             ),
         )
         me = Voter("b", "new-disk")
-        learner = LedgerReplica(me, fresh_ledger([]), random.Random(1), 0.0)
+        learner = LedgerReplica(me, empty_ledger([]), random.Random(1), 0.0)
         self.assertEqual([Send("a", LearnerHello(me, 5))], learner.handle(0.0, "a", question))
 
     def test_a_follower_writes_the_commit_index_with_the_entries(self) -> None:
-        replica = LedgerReplica(VOTERS[1], fresh_ledger(VOTERS), random.Random(1), 0.0)
+        replica = LedgerReplica(VOTERS[1], empty_ledger(VOTERS), random.Random(1), 0.0)
         first = AppendRequest(1, VOTERS[0], 0, 0, [entry(1)], 0, nonce=1)
         second = AppendRequest(1, VOTERS[0], 1, 1, [entry(2)], 1, nonce=2)
         replica.handle(LATER, "a", first)
@@ -651,18 +651,18 @@
 
     def test_the_wait_starts_when_the_window_is_observed_not_at_the_election(self) -> None:
         windows = OrderWindows()
-        self.assertEqual(float("-inf"), windows.orders_from("", "b", LEASE_S))
-        windows.learned(1, 10.0)
-        windows.learned(1, 12.0)
+        self.assertEqual(float("-inf"), windows.earliest_order_at("", "b", LEASE_S))
+        windows.observe(1, 10.0)
+        windows.observe(1, 12.0)
         expected = 10.0 + ORDER_WINDOW_S + MAX_ORDER_DELAY_S + LEASE_S
-        self.assertEqual(expected, windows.orders_from("a", "b", LEASE_S))
-        windows.learned(2, 12.5)
-        self.assertEqual(expected + 2.5, windows.orders_from("a", "b", LEASE_S))
+        self.assertEqual(expected, windows.earliest_order_at("a", "b", LEASE_S))
+        windows.observe(2, 12.5)
+        self.assertEqual(expected + 2.5, windows.earliest_order_at("a", "b", LEASE_S))
 
     def test_a_leader_does_not_wait_for_its_own_window(self) -> None:
         windows = OrderWindows()
-        windows.learned(7, 10.0)
-        self.assertEqual(float("-inf"), windows.orders_from("b", "b", LEASE_S))
+        windows.observe(7, 10.0)
+        self.assertEqual(float("-inf"), windows.earliest_order_at("b", "b", LEASE_S))
 
     def test_the_state_records_the_newest_window_holder(self) -> None:
         state = LedgerState()
@@ -683,7 +683,7 @@
 
     def restarted(self, epoch: int) -> RecoveredLedger:
         """Recovered state of a voter after b led epoch 1; `epoch` is the voter's own epoch."""
-        recovered = fresh_ledger(VOTERS)
+        recovered = empty_ledger(VOTERS)
         recovered.hard_state = HardState(epoch, None)
         recovered.entries = [Entry(1, 1, StartEpoch("b"))]
         return recovered
@@ -713,13 +713,13 @@
     """A leader's ledger with switchable lease and commits."""
 
     def __init__(self) -> None:
-        self.acts = True
+        self.has_lease = True
         self.proposed: list[Command] = []
         self.fails = False
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether the lease is valid."""
-        return self.acts
+        return self.has_lease
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits immediately, or raises if `fails` is set."""
@@ -756,6 +756,6 @@
         self.assertFalse(asyncio.run(self.window.open()))
         self.ledger.fails = False
         self.assertTrue(asyncio.run(self.window.open()))
-        self.ledger.acts = False
+        self.ledger.has_lease = False
         self.assertFalse(self.window.is_open())
         self.assertFalse(asyncio.run(self.window.open()))
--- a/tests/test_ledger_spec.py
+++ b/tests/test_ledger_spec.py
@@ -9,7 +9,7 @@
 from minicheck import check_safety
 
 from stileloom.effects import Effect, Send
-from stileloom.ledger import LedgerReplica, Persist, fresh_ledger
+from stileloom.ledger import LedgerReplica, Persist, empty_ledger
 from stileloom.ledger.commands import RaiseConfigurationFloor, Voter
 from stileloom.ledger.replica import ReplicaRole
 from tests.ledger_spec import NO_NODE, NODES, Bounds, Spec, initial_state, make_ledger_protocol
@@ -48,7 +48,7 @@
         self.now = 0.0
         self.voters = [Voter(f"n{i}", f"disk-{i}") for i in range(NODES)]
         self.replicas = [
-            LedgerReplica(voter, fresh_ledger(self.voters), random.Random(seed + i), 0.0)
+            LedgerReplica(voter, empty_ledger(self.voters), random.Random(seed + i), 0.0)
             for i, voter in enumerate(self.voters)
         ]
         self.in_flight: list[tuple[int, str, object]] = []
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -31,13 +31,13 @@
     def test_an_address_from_a_frame_takes_precedence_over_the_object_store(self) -> None:
         addresses = PeerAddresses(ME, [])
         addresses.record_sender("other", OTHER)
-        addresses.listed("other", LEADER)
-        self.assertEqual(OTHER, addresses.of("other"))
+        addresses.add_registered("other", LEADER)
+        self.assertEqual(OTHER, addresses.address_of("other"))
 
     def test_a_frame_updates_the_address_of_a_moved_node(self) -> None:
         addresses = PeerAddresses(ME, [])
-        addresses.listed("other", LEADER)
+        addresses.add_registered("other", LEADER)
         mine = LedgerCodec(Sender("me", *ME), addresses)
         theirs = LedgerCodec(Sender("other", *OTHER), PeerAddresses(OTHER, []))
         mine.decode(theirs.encode(LearnerHello(Voter("other", "disk"))))
-        self.assertEqual(OTHER, addresses.of("other"))
+        self.assertEqual(OTHER, addresses.address_of("other"))
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -266,7 +266,7 @@
         cluster.pause(leader, 6.0)
         cluster.run_for(5.9)
         self.assertNotEqual(leader, self.leader_of(cluster))
-        self.assertFalse(core.replica.may_act(cluster.world.now))
+        self.assertFalse(core.replica.is_active_leader(cluster.world.now))
         cluster.run_for(3)
         self.assertGreater(core.replica.epoch, epoch)
         self.assert_guarantees_held(cluster)
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -15,7 +15,7 @@
 from stileloom.jobs.order_window import OrderWindow
 from stileloom.jobs.scheduler import ItemScheduler
 from stileloom.jobs.version_planner import LOAD_DELAY_S, VersionPlanner
-from stileloom.ledger import LedgerReplica, fresh_ledger
+from stileloom.ledger import LedgerReplica, empty_ledger
 from stileloom.ledger.commands import StartEpoch
 from stileloom.ledger.messages import Entry, HardState
 from stileloom.proxy.attempt_plan import AttemptPlan
@@ -137,12 +137,12 @@
         ledger = FakeLedger()
         window = OrderWindow("a", ledger, required=False)
         self.assertTrue(window.is_open())
-        ledger.acts = False
+        ledger.has_lease = False
         self.assertFalse(window.is_open())
         self.assertEqual([], ledger.proposed)
 
     def test_restart_head_start(self) -> None:
-        recovered = fresh_ledger(VOTERS)
+        recovered = empty_ledger(VOTERS)
         recovered.hard_state = HardState(1, None)
         recovered.entries = [Entry(1, 1, StartEpoch("a"))]
         due = []
