--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -216,10 +216,10 @@
         for proxy in self._tcp[link_name]:
             proxy.reset()
 
-    def silence_open(self, link_name: str) -> None:
+    def stall_open_connections(self, link_name: str) -> None:
         """What is open on a link is silent for good, without a reset."""
         for proxy in self._tcp[link_name]:
-            proxy.silence_open()
+            proxy.stall_open_connections()
 
     async def stop(self) -> None:
         """Ends all that this deployment started."""
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -107,7 +107,7 @@
         # silence. This proxy acknowledges whatever it throws away.
         links = [name for name in self._deployment.links if not name.startswith("to ledger")]
         name = self._rng.choice(sorted(links))
-        self._deployment.silence_open(name)
+        self._deployment.stall_open_connections(name)
         return f"{name}: what was open is silent for good"
 
     # Ledger nodes.
--- a/tests/soak/loopback_proxy.py
+++ b/tests/soak/loopback_proxy.py
@@ -96,7 +96,7 @@
                 connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
 
-    def silence_open(self) -> None:
+    def stall_open_connections(self) -> None:
         """What is open now is silent for good, without a reset; new connections work."""
         for forwarded in self._forwarded:
             forwarded.silenced = True
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -49,7 +49,7 @@
             address = (HOST, await proxy.start(HOST))
             connections = CallConnections()
             await connections.call(address, CALL, ANSWERED_CALL_TIMEOUT_S)
-            proxy.silence_open()
+            proxy.stall_open_connections()
             sent = False
             try:
                 await connections.call(address, CALL, UNANSWERED_CALL_TIMEOUT_S)
@@ -80,7 +80,7 @@
                 answer = await call_sampler(pool, "s", address, "GET", "/", [], b"", timeout_s)
                 statuses.append(answer.head.status if answer is not None else None)
                 if len(statuses) == 1:
-                    proxy.silence_open()
+                    proxy.stall_open_connections()
             pool.close_connections("s")
             proxy.stop()
             server.close()
@@ -97,7 +97,7 @@
             proxies = [await cluster.put_proxy_before(name) for name in ("chart-1", "chart-2")]
             for number in range(4):
                 await cluster.call("POST", "/charts/7", b"x", request_id=f"warm{number}")
-            proxies[0].silence_open()
+            proxies[0].stall_open_connections()
             for number in range(4):
                 answer = await cluster.call(
                     "POST", "/charts/7", b"x", request_id=f"r{number}", deadline_ms=DEADLINE_MS
@@ -114,7 +114,7 @@
             await cluster.submit("first", [f"a{number}" for number in range(8)])
             await cluster.results("first", 8)
             for proxy in proxies:
-                proxy.silence_open()
+                proxy.stall_open_connections()
             await cluster.submit("second", [f"b{number}" for number in range(8)])
             results = await cluster.results("second", 8)
             self.assertEqual({"succeeded"}, {result[1] for result in results})
