--- a/stileloom/daemon/cached_store.py
+++ b/stileloom/daemon/cached_store.py
@@ -1,9 +1,9 @@
-"""The store as a node reads it: through another node's cache, or directly where that fails.
+"""Reads the object store through the cache of a ledger node, with a fallback to direct reads.
 
-All nodes prefer the same cache, by rendezvous hashing over the ledger nodes' names, so that
-few nodes follow the store itself. A cache that does not answer in time, or says that it is
-behind, costs one direct call; another one is asked for a while after that. What was read never
-goes back: a list from a cache that is older than what this node saw is read from the store.
+All nodes order the caches by the same hash of the ledger nodes' names, so that few nodes watch
+the object store directly. When a cache times out or is behind, the read goes to the object
+store and another cache is preferred during a backoff. Reads are monotonic: a cached list older
+than a revision this node has already read is replaced by one from the object store.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from stileloom.api.object_store import ObjectPage, ObjectRecord, ObjectStore, WatchBatch
 from stileloom.clock import steady_time
 from stileloom.daemon.process_metrics import ProcessMetrics
-from stileloom.daemon.store_cache import WATCH_SHARE_OF_BOUND
+from stileloom.daemon.store_cache import WATCH_TIMEOUT_FRACTION
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.events import LogEvent
 from stileloom.ledger.registration import read_registrations
@@ -33,68 +33,67 @@
 )
 from stileloom.transport.calls import CallConnections, CallFailed
 
-ANSWER_SHARE_OF_BOUND = 0.2
-"""Time for an answer, beyond the wait that was asked for."""
-PASSED_OVER_S = 5.0
-"""How long a cache that failed is not asked; doubled with each failure in a row."""
-PASSED_OVER_MAX_S = 40.0
+RESPONSE_TIMEOUT_FRACTION = 0.2
+"""Response timeout in addition to the requested wait, as a fraction of the shortest bound."""
+BACKOFF_BASE_S = 5.0
+"""Initial backoff after a failed read; doubled with each consecutive failure."""
+BACKOFF_MAX_S = 40.0
 MAX_DOUBLINGS = 8
-"""Enough for the greatest pause; a power of a thousand failures is no float any more."""
-REFRESH_S = 15.0
-"""How often the list of ledger nodes is read again."""
-
-FIRST_LIST_S = 0.06
-"""Time for a cache's answer, connecting included, while this node knows nothing of a kind."""
+"""Limits the exponent, which would otherwise overflow a float after many failures."""
+REFRESH_INTERVAL_S = 15.0
+"""How often the list of ledger nodes is read."""
+INITIAL_READ_TIMEOUT_S = 0.06
+"""Limit for connecting to a cache and reading the first list of a kind."""
 
 Address = tuple[str, int]
 
 
 class _CacheNode(msgspec.Struct):
-    """A ledger node, and how it answered."""
+    """A ledger node and its backoff state."""
 
     name: str
     address: Address
     failures: int = 0
-    passed_over_until: float = 0.0
+    retry_at: float = 0.0
 
 
 class CacheNodes:
-    """Ledger nodes in the order in which their caches are preferred. No I/O."""
+    """Ledger nodes in order of preference as caches. Performs no I/O."""
 
     def __init__(self, seeds: list[Address]) -> None:
         self._nodes = [_CacheNode(f"{host}:{port}", (host, port)) for host, port in seeds]
 
-    def learn(self, addresses: dict[str, Address]) -> None:
-        """Takes the store's list of ledger nodes, by name."""
+    def update_nodes(self, addresses: dict[str, Address]) -> None:
+        """Replaces the nodes by the addresses registered in the object store, by name."""
         known = {(node.name, node.address): node for node in self._nodes}
         nodes = [
             known.get((name, address), _CacheNode(name, address))
             for name, address in addresses.items()
         ]
-        # Every node sorts alike, so nearly all of them ask the same one.
+        # All readers use the same order, so most of them read from the same cache.
         self._nodes = sorted(nodes, key=lambda node: xxhash.xxh3_64_intdigest(node.name.encode()))
 
-    def choose(self, now: float) -> _CacheNode | None:
-        """The node to ask, or None where all failed lately."""
+    def select(self, now: float) -> _CacheNode | None:
+        """Returns the preferred node, or None if all are in backoff."""
         for node in self._nodes:
-            if now >= node.passed_over_until:
+            if now >= node.retry_at:
                 return node
         return None
 
-    def failed(self, node: _CacheNode, now: float) -> None:
-        """The node did not answer, or its cache is behind."""
+    def record_failure(self, node: _CacheNode, now: float) -> None:
+        """Starts or extends the backoff of a node that timed out or was behind."""
         doublings = min(node.failures, MAX_DOUBLINGS)
-        pause_s = min(PASSED_OVER_MAX_S, PASSED_OVER_S * 2**doublings)
+        backoff_s = min(BACKOFF_MAX_S, BACKOFF_BASE_S * 2**doublings)
         node.failures += 1
-        node.passed_over_until = now + pause_s
+        node.retry_at = now + backoff_s
 
-    def answered(self, node: _CacheNode) -> None:
-        """The node's cache is current."""
+    def record_success(self, node: _CacheNode) -> None:
+        """Resets the failure count of a node."""
         node.failures = 0
 
 
 class CachedObjectStore:
-    """An `ObjectStore`: reads of some kinds go through caches, all else to the store."""
+    """An `ObjectStore` that sends lists and watches to a cache and all else to the object store."""
 
     def __init__(
         self,
@@ -114,8 +113,8 @@
         self._rng = rng
         self._reads = metrics.store_reads
         self._connections = CallConnections()
-        self._in_use: str | None = None
-        self._seen_revisions: dict[str, int] = {}
+        self._selected_cache: str | None = None
+        self._latest_revisions: dict[str, int] = {}
         self._refresh_at = 0.0
 
     def close(self) -> None:
@@ -123,97 +122,100 @@
         self._connections.close()
 
     async def list_objects(self, kind: str) -> ObjectPage:
-        """All objects of a kind, from a cache that is not behind what was seen.
+        """Lists a kind from a cache, unless the cache is older than an earlier read.
 
-        A node that knows nothing yet can serve nobody: it gives a cache little time.
+        The first list uses a short timeout, because a node without one cannot serve requests.
         """
-        seen = self._seen_revisions.get(kind, 0)
-        limit_s = FIRST_LIST_S if seen == 0 else self._bound_s
+        seen = self._latest_revisions.get(kind, 0)
+        limit_s = INITIAL_READ_TIMEOUT_S if seen == 0 else self._bound_s
         reply = await self._ask_cache(ReadObjectsCall(kind, None, 0.0), limit_s)
         if isinstance(reply, ObjectsListed) and reply.page.store_revision >= seen:
             page = reply.page
         else:
             page = await self._store.list_objects(kind)
             self._reads.labels("store").inc()
-        self._seen_revisions[kind] = max(seen, page.store_revision)
+        self._latest_revisions[kind] = max(seen, page.store_revision)
         return page
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """Changes after a revision; waits no longer than a lost answer may go unnoticed."""
+        """Returns the changes after a revision; limits the wait to detect lost connections."""
         await self._refresh_nodes()
-        short_wait_s = min(wait_s, self._bound_s * WATCH_SHARE_OF_BOUND)
-        call = ReadObjectsCall(kind, after_revision, short_wait_s)
+        bounded_wait_s = min(wait_s, self._bound_s * WATCH_TIMEOUT_FRACTION)
+        call = ReadObjectsCall(kind, after_revision, bounded_wait_s)
         reply = await self._ask_cache(call, self._bound_s)
         if isinstance(reply, ChangesForgotten):
-            raise StileloomError(ErrorKind.HISTORY_LOST, "the cache forgot the changes")
+            raise StileloomError(
+                ErrorKind.HISTORY_LOST, "the cache no longer holds the changes after this revision"
+            )
         if isinstance(reply, ObjectsChanged):
             batch = reply.batch
         else:
-            batch = await self._store.watch_objects(kind, after_revision, short_wait_s)
+            batch = await self._store.watch_objects(kind, after_revision, bounded_wait_s)
             self._reads.labels("store").inc()
-        self._seen_revisions[kind] = max(after_revision, batch.store_revision)
+        self._latest_revisions[kind] = max(after_revision, batch.store_revision)
         return batch
 
     async def _ask_cache(self, call: ReadObjectsCall, limit_s: float) -> CacheReply | None:
-        """A cache's answer within a limit, or None where the store has to be asked."""
-        node = self.nodes.choose(steady_time())
+        """Returns a cache's reply, or None if the object store has to be read directly."""
+        node = self.nodes.select(steady_time())
         if node is None:
             return None
-        timeout_s = call.wait_s + self._bound_s * ANSWER_SHARE_OF_BOUND
+        timeout_s = call.wait_s + self._bound_s * RESPONSE_TIMEOUT_FRACTION
         try:
             async with asyncio.timeout(limit_s):
                 reply = await self._connections.call(node.address, call, timeout_s)
         except (CallFailed, TimeoutError) as failure:
-            self._note_failure(node, str(failure) or "no answer in time")
+            self._record_failure(node, str(failure) or "timed out")
             return None
         if not isinstance(reply, ObjectsListed | ObjectsChanged | ChangesForgotten):
-            self._note_failure(node, "behind")
+            self._record_failure(node, "cache is behind the object store")
             return None
-        self._note_answer(node)
+        self._record_success(node)
         return reply
 
-    def _note_answer(self, node: _CacheNode) -> None:
-        self.nodes.answered(node)
+    def _record_success(self, node: _CacheNode) -> None:
+        self.nodes.record_success(node)
         self._reads.labels("cache").inc()
-        if self._in_use != node.name:
+        if self._selected_cache != node.name:
             self._log.emit(
-                LogEvent.STORE_CACHE_CHOSEN, {"cache": node.name, "before": self._in_use or ""}
+                LogEvent.STORE_CACHE_CHOSEN,
+                {"cache": node.name, "before": self._selected_cache or ""},
             )
-            self._in_use = node.name
+            self._selected_cache = node.name
 
-    def _note_failure(self, node: _CacheNode, reason: str) -> None:
-        # Calls that were under way together fail together: one of them counts.
-        if steady_time() < node.passed_over_until:
+    def _record_failure(self, node: _CacheNode, reason: str) -> None:
+        # Concurrent calls to the same cache fail together and count as one failure.
+        if steady_time() < node.retry_at:
             return
-        self.nodes.failed(node, steady_time())
-        if self._in_use == node.name:
-            self._in_use = None
+        self.nodes.record_failure(node, steady_time())
+        if self._selected_cache == node.name:
+            self._selected_cache = None
             self._log.emit(LogEvent.STORE_CACHE_LOST, {"cache": node.name, "reason": reason})
 
     async def _refresh_nodes(self) -> None:
-        """Reads the list of ledger nodes now and then; failures are left to the next time."""
+        """Refreshes the list of ledger nodes when due; a failure is retried at the next refresh."""
         now = steady_time()
         if now < self._refresh_at:
             return
-        self._refresh_at = now + REFRESH_S * self._rng.uniform(0.7, 1.3)
+        self._refresh_at = now + REFRESH_INTERVAL_S * self._rng.uniform(0.7, 1.3)
         try:
             page = await self.list_objects(self._ledger_nodes_kind)
         except StileloomError:
             return
         addresses = ledger_node_addresses(page.records)
         if addresses:
-            self.nodes.learn(addresses)
+            self.nodes.update_nodes(addresses)
 
     async def get_object(self, kind: str, name: str) -> ObjectRecord | None:
-        """One object, from the store."""
+        """Reads one object directly from the object store."""
         return await self._store.get_object(kind, name)
 
     async def create_object(self, kind: str, name: str, spec: Any) -> ObjectRecord:
-        """Adds an object."""
+        """Creates an object."""
         return await self._store.create_object(kind, name, spec)
 
     async def replace_object(self, kind: str, record: ObjectRecord) -> ObjectRecord:
-        """Replaces the spec if the revision still holds."""
+        """Replaces the spec if the revision is unchanged."""
         return await self._store.replace_object(kind, record)
 
     async def write_status(self, kind: str, name: str, status: Any) -> None:
@@ -222,7 +224,7 @@
 
 
 def ledger_node_addresses(records: list[ObjectRecord]) -> dict[str, Address]:
-    """Where registered ledger nodes take calls, by name."""
+    """Returns the call addresses of registered ledger nodes, by name."""
     return {
         name: registration.calls_address
         for name, registration in read_registrations(records).items()
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -213,7 +213,7 @@
 
     def _step(self) -> None:
         assert self._driver is not None
-        self._cache.drop_idle()
+        self._cache.evict_idle()
         self._order_windows.learned(self._driver.state.order_windows, steady_time())
         leads = self._driver.may_act()
         if self._leadership is not None:
--- a/stileloom/daemon/store_cache.py
+++ b/stileloom/daemon/store_cache.py
@@ -1,8 +1,8 @@
-"""A ledger node's cache of the store: many nodes follow objects through one node's watches.
+"""A ledger node's cache of the object store, which serves lists and watches to other nodes.
 
-Each call to the store has its price, and a thousand watches are re-armed at each change. So
-one node follows a kind while others ask it, and answers their lists and watches. It says
-itself when it is behind: an answer is only given while the store was heard within a bound.
+One node watches each kind on behalf of all others, which limits the number of calls to the
+object store. The cache answers only while its last contact with the object store is within a
+staleness bound; otherwise it reports that it is behind.
 """
 
 from __future__ import annotations
@@ -32,65 +32,65 @@
     ReadObjectsCall,
 )
 
-WATCH_SHARE_OF_BOUND = 0.5
-"""A watch that nobody answers is over within this share of the shortest bound."""
-BEHIND_SHARE_OF_BOUND = 0.7
-"""What was not confirmed within this share of the shortest bound is not passed on."""
-PAUSE_SHARE_OF_BOUND = 0.04
-CHANGES_KEPT = 512
-FIRST_ANSWER_S = 0.4
-"""How long the first caller waits for the store's list."""
-IDLE_S = 6.0
-"""A kind that nobody asks for so long is followed no more."""
+WATCH_TIMEOUT_FRACTION = 0.5
+"""Timeout of a watch, as a fraction of the shortest time bound."""
+MAX_STALENESS_FRACTION = 0.7
+"""Age after which cached data is not served, as a fraction of the shortest time bound."""
+BATCHING_DELAY_FRACTION = 0.04
+MAX_CACHED_CHANGES = 512
+INITIAL_LIST_TIMEOUT_S = 0.4
+"""How long the first reader of a kind waits for the list from the object store."""
+IDLE_TIMEOUT_S = 6.0
+"""A kind that has not been read for this long is evicted."""
 
 
-class _FollowedKind:
-    """One kind of objects, and its newest changes."""
+class _CachedKind:
+    """Objects of one kind and their most recent changes."""
 
     def __init__(
         self, kind: str, store: ObjectStore, bound_s: float, log: EventLog, rng: random.Random
     ) -> None:
-        self.asked_at = steady_time()
+        self.last_read_at = steady_time()
         self.watcher = ObjectWatcher(
             store,
             kind,
-            self._listed,
-            self._changed,
-            bound_s * PAUSE_SHARE_OF_BOUND,
+            self._on_list,
+            self._on_event,
+            bound_s * BATCHING_DELAY_FRACTION,
             log,
             rng,
-            wait_s=bound_s * WATCH_SHARE_OF_BOUND,
+            wait_s=bound_s * WATCH_TIMEOUT_FRACTION,
         )
         self._records: dict[str, ObjectRecord] = {}
         self._changes: collections.deque[tuple[int, ObjectEvent]] = collections.deque()
-        self._complete_after = 0
-        """All changes after this revision are held."""
+        self._complete_after_revision = 0
+        """Changes after this revision are complete."""
         self._waiters: set[asyncio.Future[None]] = set()
 
-    def _listed(self, records: list[ObjectRecord]) -> None:
+    def _on_list(self, records: list[ObjectRecord]) -> None:
         self._records = {record.name: record for record in records}
         self._changes.clear()
-        self._complete_after = self.watcher.revision
-        self._wake()
+        self._complete_after_revision = self.watcher.revision
+        self._notify_waiters()
 
-    def _changed(self, event: ObjectEvent) -> None:
+    def _on_event(self, event: ObjectEvent) -> None:
         if event.gone:
             self._records.pop(event.record.name, None)
         else:
             self._records[event.record.name] = event.record
         self._changes.append((self.watcher.revision, event))
-        if len(self._changes) > CHANGES_KEPT:
-            self._complete_after, _ = self._changes.popleft()
-        self._wake()
+        if len(self._changes) > MAX_CACHED_CHANGES:
+            self._complete_after_revision, _ = self._changes.popleft()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
         self._waiters.clear()
 
-    async def wait(self, timeout_s: float) -> None:
-        """Returns after the next change, or after the time."""
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Waits for the next change or the timeout."""
         if timeout_s <= 0:
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -99,19 +99,18 @@
         self._waiters.discard(waiter)
 
     def page(self) -> ObjectPage:
-        """All objects."""
         return ObjectPage(list(self._records.values()), self.watcher.revision)
 
-    def after(self, revision: int) -> WatchBatch | None:
-        """Changes after a revision, or None where some of them are forgotten."""
-        if revision < self._complete_after:
+    def changes_after(self, revision: int) -> WatchBatch | None:
+        """Returns the changes after a revision, or None if some of them were evicted."""
+        if revision < self._complete_after_revision:
             return None
         events = [event for changed_at, event in self._changes if changed_at > revision]
         return WatchBatch(events, max(revision, self.watcher.revision))
 
 
 class StoreCache:
-    """Kinds that other nodes follow through this one."""
+    """Serves lists and watches of object kinds to other nodes."""
 
     def __init__(
         self, store: ObjectStore, bounds: TimeBounds, log: EventLog, rng: random.Random
@@ -120,58 +119,62 @@
         self._bound_s = min(bounds.configuration_s, bounds.sampler_drain_s)
         self._log = log
         self._rng = rng
-        self._kinds: dict[str, _FollowedKind] = {}
+        self._kinds: dict[str, _CachedKind] = {}
         self._tasks: dict[str, BackgroundTasks] = {}
 
     async def read(self, call: ReadObjectsCall) -> CacheReply:
-        """Answers a list or a watch."""
-        followed = self._followed(call.kind)
-        if not self._current(followed):
-            await followed.wait(FIRST_ANSWER_S if followed.watcher.synced_at is None else 0.0)
-        if not self._current(followed):
+        """Answers a list or watch request."""
+        cached = self._get_or_create(call.kind)
+        if not self._is_fresh(cached):
+            await cached.wait_for_change(
+                INITIAL_LIST_TIMEOUT_S if cached.watcher.synced_at is None else 0.0
+            )
+        if not self._is_fresh(cached):
             return CacheBehind()
         if call.after_revision is None:
-            return ObjectsListed(followed.page())
-        give_up_at = steady_time() + call.wait_s
-        batch = followed.after(call.after_revision)
-        while batch is not None and not batch.events and self._current(followed):
-            left_s = min(give_up_at, self._behind_at(followed)) - steady_time()
-            if left_s <= 0:
+            return ObjectsListed(cached.page())
+        deadline = steady_time() + call.wait_s
+        batch = cached.changes_after(call.after_revision)
+        while batch is not None and not batch.events and self._is_fresh(cached):
+            remaining_s = min(deadline, self._stale_at(cached)) - steady_time()
+            if remaining_s <= 0:
                 break
-            await followed.wait(left_s)
-            batch = followed.after(call.after_revision)
-        if not self._current(followed):
+            await cached.wait_for_change(remaining_s)
+            batch = cached.changes_after(call.after_revision)
+        if not self._is_fresh(cached):
             return CacheBehind()
         return ObjectsChanged(batch) if batch is not None else ChangesForgotten()
 
-    def _followed(self, kind: str) -> _FollowedKind:
-        followed = self._kinds.get(kind)
-        if followed is None:
-            followed = _FollowedKind(kind, self._store, self._bound_s, self._log, self._rng)
-            self._kinds[kind] = followed
+    def _get_or_create(self, kind: str) -> _CachedKind:
+        cached = self._kinds.get(kind)
+        if cached is None:
+            cached = _CachedKind(kind, self._store, self._bound_s, self._log, self._rng)
+            self._kinds[kind] = cached
             self._tasks[kind] = BackgroundTasks(self._log)
-            self._tasks[kind].spawn(followed.watcher.run())
-        followed.asked_at = steady_time()
-        return followed
+            self._tasks[kind].spawn(cached.watcher.run())
+        cached.last_read_at = steady_time()
+        return cached
 
-    def drop_idle(self) -> None:
-        """Follows no kind that nobody asks for."""
+    def evict_idle(self) -> None:
+        """Stops watching kinds that have not been read recently."""
         now = steady_time()
-        idle = [kind for kind, item in self._kinds.items() if now > item.asked_at + IDLE_S]
+        idle = [
+            kind for kind, item in self._kinds.items() if now > item.last_read_at + IDLE_TIMEOUT_S
+        ]
         for kind in idle:
             self._tasks.pop(kind).cancel()
             del self._kinds[kind]
 
-    def _behind_at(self, followed: _FollowedKind) -> float:
-        synced_at = followed.watcher.synced_at
+    def _stale_at(self, cached: _CachedKind) -> float:
+        synced_at = cached.watcher.synced_at
         if synced_at is None:
             return float("-inf")
-        return synced_at + self._bound_s * BEHIND_SHARE_OF_BOUND
+        return synced_at + self._bound_s * MAX_STALENESS_FRACTION
 
-    def _current(self, followed: _FollowedKind) -> bool:
-        return steady_time() < self._behind_at(followed)
+    def _is_fresh(self, cached: _CachedKind) -> bool:
+        return steady_time() < self._stale_at(cached)
 
     def stop(self) -> None:
-        """Follows nothing any more."""
+        """Stops all watches."""
         for tasks in self._tasks.values():
             tasks.cancel()
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -1,4 +1,4 @@
-"""Following the store through another node's cache: what is passed on, and when it is not."""
+"""Tests of the object store cache and of reads through it."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from stileloom.api.object_store import ObjectEvent, ObjectPage, ObjectRecord, WatchBatch
 from stileloom.daemon.cached_store import (
-    PASSED_OVER_MAX_S,
-    PASSED_OVER_S,
+    BACKOFF_BASE_S,
+    BACKOFF_MAX_S,
     CachedObjectStore,
     CacheNodes,
 )
@@ -38,7 +38,7 @@
 
 
 class FakeStore:
-    """A store in memory; `down` makes it refuse, `silent` makes its watches hang."""
+    """An in-memory object store; `down` makes calls fail, `unresponsive` makes watches hang."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -46,36 +46,35 @@
         self.events: list[ObjectEvent] = []
         self.calls = 0
         self.down = False
-        self.silent = False
+        self.unresponsive = False
         self._changed = asyncio.Event()
 
     def put(self, name: str) -> None:
-        """Changes an object."""
+        """Creates or updates an object."""
         self.revision += 1
         self.records[name] = ObjectRecord(name, self.revision, {"calls": "127.0.0.1:1"})
-        self._tell(ObjectEvent(False, self.records[name]))
+        self._publish(ObjectEvent(False, self.records[name]))
 
     def remove(self, name: str) -> None:
-        """Removes an object."""
         self.revision += 1
         del self.records[name]
-        self._tell(ObjectEvent(True, ObjectRecord(name, self.revision, None)))
+        self._publish(ObjectEvent(True, ObjectRecord(name, self.revision, None)))
 
-    def _tell(self, event: ObjectEvent) -> None:
+    def _publish(self, event: ObjectEvent) -> None:
         self.events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def list_objects(self, kind: str) -> ObjectPage:
-        """All objects; there are none of other kinds."""
+        """Lists the objects; only KIND has any."""
         self._count()
         records = list(self.records.values()) if kind == KIND else []
         return ObjectPage(records, self.revision)
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """Changes of the one kind."""
+        """Waits for changes after a revision."""
         self._count()
-        if self.silent:
+        if self.unresponsive:
             await asyncio.sleep(wait_s + 1.0)
             raise StileloomError(ErrorKind.PLATFORM_UNAVAILABLE, "no answer")
         if after_revision >= self.revision:
@@ -93,19 +92,19 @@
             raise StileloomError(ErrorKind.PLATFORM_UNAVAILABLE, "503")
 
 
-def cache_over(store: FakeStore) -> StoreCache:
-    """A cache with short bounds."""
+def make_cache(store: FakeStore) -> StoreCache:
+    """Creates a cache with short time bounds."""
     return StoreCache(store, BOUNDS, EventLog("cache"), random.Random(1))  # type: ignore[arg-type]
 
 
 class StoreCacheTest(testtools.TestCase):
-    """The node that follows the store for others."""
+    """The cache that serves other nodes."""
 
-    def test_many_readers_cost_the_calls_of_one(self) -> None:
+    def test_many_readers_share_the_calls_of_one_watch(self) -> None:
         async def run() -> tuple[list[Any], int]:
             store = FakeStore()
             store.put("a")
-            cache = cache_over(store)
+            cache = make_cache(store)
             listed = await cache.read(ReadObjectsCall(KIND, None, 0.0))
             assert isinstance(listed, ObjectsListed)
             readers = [
@@ -124,12 +123,12 @@
         self.assertEqual({("b",)}, names)
         self.assertLessEqual(calls, 3)
 
-    def test_a_list_follows_removals_and_forgotten_changes_are_said(self) -> None:
+    def test_a_list_reflects_removals_and_evicted_changes_are_reported(self) -> None:
         async def run() -> tuple[Any, Any]:
             store = FakeStore()
             store.put("a")
             store.put("b")
-            cache = cache_over(store)
+            cache = make_cache(store)
             first = await cache.read(ReadObjectsCall(KIND, None, 0.0))
             store.remove("a")
             await cache.read(ReadObjectsCall(KIND, first.page.store_revision, 5.0))
@@ -142,15 +141,15 @@
         self.assertEqual(["b"], [record.name for record in second.page.records])
         self.assertIsInstance(older, ChangesForgotten)
 
-    def test_a_cache_that_does_not_hear_from_the_store_says_so(self) -> None:
-        """While its watch hangs nothing may be passed on as current."""
+    def test_a_cache_without_contact_to_the_store_reports_behind(self) -> None:
+        """While its watch hangs, the cache must not serve stale data as current."""
 
         async def run() -> tuple[Any, Any]:
             store = FakeStore()
-            cache = cache_over(store)
+            cache = make_cache(store)
             first = await cache.read(ReadObjectsCall(KIND, None, 0.0))
-            store.silent = True
-            # The watch under way ends; the next one hangs.
+            store.unresponsive = True
+            # Completes the pending watch; the next one hangs.
             store.put("a")
             changed = await cache.read(ReadObjectsCall(KIND, first.page.store_revision, 5.0))
             behind = await cache.read(ReadObjectsCall(KIND, changed.batch.store_revision, 30.0))
@@ -161,11 +160,11 @@
         self.assertIsInstance(changed, ObjectsChanged)
         self.assertIsInstance(behind, CacheBehind)
 
-    def test_a_cache_whose_store_is_down_from_the_start_is_behind(self) -> None:
+    def test_a_cache_whose_store_is_down_at_start_reports_behind(self) -> None:
         async def run() -> Any:
             store = FakeStore()
             store.down = True
-            cache = cache_over(store)
+            cache = make_cache(store)
             answer = await cache.read(ReadObjectsCall(KIND, None, 0.0))
             cache.stop()
             return answer
@@ -174,10 +173,10 @@
 
 
 class CachedObjectStoreTest(testtools.TestCase):
-    """The node that reads through a cache."""
+    """Reads through a cache."""
 
-    def reader(self, store: FakeStore, seeds: list[tuple[str, int]]) -> CachedObjectStore:
-        """A reader with its own path to the store."""
+    def make_reader(self, store: FakeStore, seeds: list[tuple[str, int]]) -> CachedObjectStore:
+        """Creates a reader with direct access to `store`."""
         log = EventLog("reader")
         metrics = ProcessMetrics(CollectorRegistry(), log)
         return CachedObjectStore(
@@ -190,19 +189,19 @@
             metrics,
         )
 
-    def test_it_reads_from_the_cache_and_from_the_store_once_the_cache_is_gone(self) -> None:
+    def test_reads_fall_back_to_the_store_when_the_cache_stops(self) -> None:
         async def run() -> list[int]:
-            store, own_path = FakeStore(), FakeStore()
+            store, direct_store = FakeStore(), FakeStore()
             store.put("a")
-            own_path.put("a")
-            own_path.put("b")
-            cache = cache_over(store)
+            direct_store.put("a")
+            direct_store.put("b")
+            cache = make_cache(store)
             port = free_port()
             server = CallServer(cache.read)  # type: ignore[arg-type]
             await server.start(HOST, port)
-            reader = self.reader(own_path, [(HOST, port)])
+            reader = self.make_reader(direct_store, [(HOST, port)])
             sizes = [len((await reader.list_objects(KIND)).records)]
-            calls_before = own_path.calls
+            calls_before = direct_store.calls
             server.stop()
             sizes.append(len((await reader.list_objects(KIND)).records))
             sizes.append(calls_before)
@@ -212,30 +211,30 @@
 
         self.assertEqual([1, 2, 0], asyncio.run(run()))
 
-    def test_a_first_list_does_not_wait_for_a_cache_that_is_starting_too(self) -> None:
-        """Until its first list a gateway answers all requests with 503."""
+    def test_the_first_list_does_not_wait_for_a_cache_that_is_starting(self) -> None:
+        """A gateway answers all requests with 503 until it has its first list."""
 
         async def run() -> tuple[int, bool]:
-            own_path = FakeStore()
-            own_path.put("a")
+            direct_store = FakeStore()
+            direct_store.put("a")
             port = free_port()
-            asked = asyncio.Event()
-            may_answer = asyncio.Event()
+            requested = asyncio.Event()
+            allow_answer = asyncio.Event()
 
             async def answer_late(call: object) -> CacheBehind:
-                asked.set()
-                await may_answer.wait()
+                requested.set()
+                await allow_answer.wait()
                 return CacheBehind()
 
             server = CallServer(answer_late)  # type: ignore[arg-type]
             await server.start(HOST, port)
-            reader = self.reader(own_path, [(HOST, port)])
+            reader = self.make_reader(direct_store, [(HOST, port)])
             page = await reader.list_objects(KIND)
-            was_asked = asked.is_set()
-            may_answer.set()
+            was_requested = requested.is_set()
+            allow_answer.set()
             server.stop()
             reader.close()
-            return len(page.records), was_asked
+            return len(page.records), was_requested
 
         async def bounded_run() -> tuple[int, bool]:
             async with asyncio.timeout(30.0):
@@ -245,21 +244,21 @@
         with mock.patch("tests.test_store_cache.BOUNDS", bounds):
             self.assertEqual((1, True), asyncio.run(bounded_run()))
 
-    def test_a_cache_behind_what_was_seen_is_not_listed_from(self) -> None:
-        """A listing that goes back would bring back a sampler that has left."""
+    def test_a_list_older_than_an_earlier_read_is_not_used(self) -> None:
+        """An outdated list would restore a sampler that has been removed."""
 
         async def run() -> list[str]:
-            store, own_path = FakeStore(), FakeStore()
+            store, direct_store = FakeStore(), FakeStore()
             store.put("old")
             for _ in range(3):
-                own_path.put("new")
-            cache = cache_over(store)
+                direct_store.put("new")
+            cache = make_cache(store)
             port = free_port()
             server = CallServer(cache.read)  # type: ignore[arg-type]
             await server.start(HOST, port)
-            reader = self.reader(own_path, [(HOST, port)])
-            # Seen through another path: revision 4; the cache is at 2.
-            reader._seen_revisions[KIND] = own_path.revision
+            reader = self.make_reader(direct_store, [(HOST, port)])
+            # The reader has already read revision 4; the cache is at 2.
+            reader._latest_revisions[KIND] = direct_store.revision
             page = await reader.list_objects(KIND)
             server.stop()
             reader.close()
@@ -270,33 +269,33 @@
 
 
 class CacheNodesTest(testtools.TestCase):
-    """Whose cache is asked."""
+    """Selection of caches and backoff after failures."""
 
-    def test_all_readers_prefer_the_same_node_and_fall_back_in_the_same_order(self) -> None:
+    def test_all_readers_select_nodes_in_the_same_order(self) -> None:
         addresses = {f"ledger-{n}": (f"10.0.0.{n}", 1) for n in range(9)}
         chosen = set()
         for _ in range(3):
             nodes = CacheNodes([("10.9.9.9", 1)])
-            nodes.learn(dict(reversed(addresses.items())))
-            first = nodes.choose(0.0)
+            nodes.update_nodes(dict(reversed(addresses.items())))
+            first = nodes.select(0.0)
             assert first is not None
-            nodes.failed(first, 0.0)
-            second = nodes.choose(1.0)
-            again = nodes.choose(PASSED_OVER_S + 0.1)
+            nodes.record_failure(first, 0.0)
+            second = nodes.select(1.0)
+            again = nodes.select(BACKOFF_BASE_S + 0.1)
             assert second is not None and again is not None
             chosen.add((first.name, second.name, again.name))
         ((first_name, second_name, again_name),) = chosen
         self.assertNotEqual(first_name, second_name)
         self.assertEqual(first_name, again_name)
 
-    def test_a_node_that_fails_again_and_again_is_asked_less_often(self) -> None:
+    def test_repeated_failures_extend_the_backoff(self) -> None:
         nodes = CacheNodes([("10.0.0.1", 1)])
-        node = nodes.choose(0.0)
+        node = nodes.select(0.0)
         assert node is not None
-        nodes.failed(node, 0.0)
-        nodes.failed(node, 0.0)
-        self.assertIsNone(nodes.choose(PASSED_OVER_S + 0.1))
-        self.assertIsNotNone(nodes.choose(2 * PASSED_OVER_S + 0.1))
+        nodes.record_failure(node, 0.0)
+        nodes.record_failure(node, 0.0)
+        self.assertIsNone(nodes.select(BACKOFF_BASE_S + 0.1))
+        self.assertIsNotNone(nodes.select(2 * BACKOFF_BASE_S + 0.1))
         for _ in range(1200):
-            nodes.failed(node, 0.0)
-        self.assertIsNotNone(nodes.choose(PASSED_OVER_MAX_S + 0.1))
+            nodes.record_failure(node, 0.0)
+        self.assertIsNotNone(nodes.select(BACKOFF_MAX_S + 0.1))
