--- a/stileloom/daemon/directory.py
+++ b/stileloom/daemon/directory.py
@@ -1,4 +1,4 @@
-"""What a node knows from the store: routes in force, and samplers."""
+"""A node's view of the object store: the active routes and the samplers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from stileloom.proxy.sampler_table import SamplerChange, SamplerTable
 from stileloom.service_settings import TimeBounds
 
-PAUSE_SHARE_OF_BOUND = 0.1
-"""Changes that come within this share of their bound are fetched by one call."""
+BATCHING_DELAY_FRACTION = 0.1
+"""Delay after a change, as a fraction of its time bound, so that one call fetches several."""
 
 
 class Directory:
-    """Follows the configuration and the list of samplers."""
+    """Watches the configuration and the list of samplers."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._tasks = BackgroundTasks(log)
         kinds = dialect.kinds
 
-        def count(kind: str, outcome: str) -> None:
+        def record_outcome(kind: str, outcome: str) -> None:
             metrics.store_calls.labels(kind, outcome).inc()
 
         self._watchers = [
@@ -54,20 +54,20 @@
                 kinds.configuration,
                 self._configurations_listed,
                 self._configuration_changed,
-                bounds.configuration_s * PAUSE_SHARE_OF_BOUND,
+                bounds.configuration_s * BATCHING_DELAY_FRACTION,
                 log,
                 rng,
-                count=count,
+                record_outcome=record_outcome,
             ),
             ObjectWatcher(
                 store,
                 kinds.samplers,
                 self._samplers_listed,
                 self._sampler_changed,
-                bounds.sampler_drain_s * PAUSE_SHARE_OF_BOUND,
+                bounds.sampler_drain_s * BATCHING_DELAY_FRACTION,
                 log,
                 rng,
-                count=count,
+                record_outcome=record_outcome,
             ),
         ]
         metrics.observe_routes(lambda: self.routes.version)
@@ -82,12 +82,12 @@
         return self.routes.version > 0 and self.samplers.listed_once
 
     def start(self) -> None:
-        """Begins to follow."""
+        """Starts the watches."""
         for watcher in self._watchers:
             self._tasks.spawn(watcher.run())
 
     def stop(self) -> None:
-        """Follows no more."""
+        """Stops the watches."""
         self._tasks.cancel()
 
     def _configurations_listed(self, records: list[ObjectRecord]) -> None:
@@ -104,7 +104,7 @@
         try:
             configuration = self._dialect.decode_configuration(record.spec)
         except StileloomError as error:
-            self._not_understood("configuration", record, error)
+            self._report_undecodable("configuration", record, error)
             return
         before = self.routes.version
         adopted = self.routes.adopt(configuration)
@@ -122,44 +122,44 @@
     def _samplers_listed(self, records: list[ObjectRecord]) -> None:
         entries = [entry for record in records if (entry := self._decode(record)) is not None]
         for sampler_id in self.samplers.replace_all(entries):
-            self._gone(sampler_id, "no longer listed, or started again")
+            self._report_removed(sampler_id, "no longer listed, or restarted")
         for entry in entries:
             self.on_sampler(entry)
 
     def _sampler_changed(self, event: ObjectEvent) -> None:
         if event.gone:
             self.samplers.remove(event.record.name)
-            self._gone(event.record.name, "entry removed")
+            self._report_removed(event.record.name, "entry removed")
             return
         entry = self._decode(event.record)
         if entry is None:
-            # Another writer may have come over the entry: what was known from it holds no more, and
-            # the sampler is judged anew when its own entry is back.
+            # Another writer may have overwritten the entry: drop the tracked state, which is
+            # created again when a valid entry returns.
             if self.samplers.get(event.record.name) is not None:
                 self.samplers.remove(event.record.name)
-                self._gone(event.record.name, "entry not understood")
+                self._report_removed(event.record.name, "entry could not be decoded")
             return
         change = self.samplers.put(entry)
         if change is not SamplerChange.NONE:
-            self._gone(entry.sampler_id, change.value)
+            self._report_removed(entry.sampler_id, change.value)
         self.on_sampler(entry)
 
-    def _gone(self, sampler_id: str, sign: str) -> None:
-        self._log.emit(LogEvent.SAMPLER_UNLISTED, {"sampler": sampler_id, "sign": sign})
+    def _report_removed(self, sampler_id: str, reason: str) -> None:
+        self._log.emit(LogEvent.SAMPLER_UNLISTED, {"sampler": sampler_id, "sign": reason})
         self.on_sampler_gone(sampler_id)
 
     def _decode(self, record: ObjectRecord) -> SamplerEntry | None:
         try:
             entry = self._dialect.decode_sampler(record)
         except StileloomError as error:
-            self._not_understood("sampler", record, error)
+            self._report_undecodable("sampler", record, error)
             return None
         if self.samplers.get(entry.sampler_id) is None and not entry.draining:
             fields: dict[str, object] = {"sampler": entry.sampler_id, "service": entry.service}
             self._log.emit(LogEvent.SAMPLER_LISTED, fields)
         return entry
 
-    def _not_understood(self, what: str, record: ObjectRecord, error: StileloomError) -> None:
+    def _report_undecodable(self, what: str, record: ObjectRecord, error: StileloomError) -> None:
         self._log.emit(
             LogEvent.OBJECT_NOT_UNDERSTOOD,
             {
--- a/stileloom/daemon/native_object_store.py
+++ b/stileloom/daemon/native_object_store.py
@@ -1,7 +1,7 @@
-"""The product's own object API behind the port `ObjectStore`.
+"""Adapter from stileloom's own object API to the interface `ObjectStore`.
 
-The API lists and watches everything at once; changes of one kind are found by comparing with
-the list at the revision that a watch begins from. A status is kept as an object of its own kind.
+The API lists and watches all kinds together. Changes of one kind are computed by comparison with
+the list at the revision where the watch starts. A status is stored as an object of its own kind.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from stileloom.errors import ErrorKind, StileloomError
 
 STATUS_SUFFIX = "-status"
-LISTS_KEPT = 32
+MAX_CACHED_LISTS = 32
 
 
 class NativeObjectStore:
@@ -23,54 +23,58 @@
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
         self._lists: dict[str, dict[int, dict[str, ObjectRecord]]] = {}
-        """The newest lists of each kind, by revision."""
+        """The most recent lists of each kind, by revision."""
 
     async def list_objects(self, kind: str) -> ObjectPage:
-        """All objects of a kind."""
+        """Lists all objects of a kind."""
         listed = await self._api.list()
         records = _records(listed, kind)
-        self._keep(kind, listed.revision, records)
+        self._cache_list(kind, listed.revision, records)
         return ObjectPage(list(records.values()), listed.revision)
 
     async def get_object(self, kind: str, name: str) -> ObjectRecord | None:
-        """One object, or None."""
+        """Returns an object, or None if it does not exist."""
         stored = await self._api.get(kind, name)
         return _record(stored, None) if stored is not None else None
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """Changes after a revision. Raises HISTORY_LOST where the list then is not held."""
-        before = self._lists.get(kind, {}).get(after_revision)
-        if before is None:
-            raise StileloomError(ErrorKind.HISTORY_LOST, f"no list at {after_revision}")
+        """Returns changes after a revision. Raises HISTORY_LOST if that revision is not cached."""
+        previous = self._lists.get(kind, {}).get(after_revision)
+        if previous is None:
+            raise StileloomError(
+                ErrorKind.HISTORY_LOST, f"no cached list of {kind} at revision {after_revision}"
+            )
         listed = await self._api.watch_all(after_revision, wait_s)
         if listed is None:
             return WatchBatch([], after_revision)
         records = _records(listed, kind)
-        self._keep(kind, listed.revision, records)
-        gone = [ObjectEvent(True, record) for name, record in before.items() if name not in records]
+        self._cache_list(kind, listed.revision, records)
+        gone = [
+            ObjectEvent(True, record) for name, record in previous.items() if name not in records
+        ]
         changed = [
             ObjectEvent(False, record)
             for name, record in records.items()
-            if before.get(name) != record
+            if previous.get(name) != record
         ]
         return WatchBatch(gone + changed, listed.revision)
 
-    def _keep(self, kind: str, revision: int, records: dict[str, ObjectRecord]) -> None:
+    def _cache_list(self, kind: str, revision: int, records: dict[str, ObjectRecord]) -> None:
         lists = self._lists.setdefault(kind, {})
         lists[revision] = records
-        while len(lists) > LISTS_KEPT:
+        while len(lists) > MAX_CACHED_LISTS:
             del lists[min(lists)]
 
     async def create_object(self, kind: str, name: str, spec: Any) -> ObjectRecord:
-        """Adds an object."""
+        """Creates an object."""
         return await self._write(kind, name, 0, spec)
 
     async def replace_object(self, kind: str, record: ObjectRecord) -> ObjectRecord:
-        """Replaces the spec if the revision still holds."""
+        """Replaces the spec if the revision is unchanged."""
         return await self._write(kind, record.name, record.revision, record.spec)
 
     async def write_status(self, kind: str, name: str, status: Any) -> None:
-        """Replaces the status, whatever the revision."""
+        """Replaces the status regardless of the revision."""
         await self._write(kind + STATUS_SUFFIX, name, None, status)
 
     async def _write(self, kind: str, name: str, expected: int | None, spec: Any) -> ObjectRecord:
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,12 +1,7 @@
-"""A cancelled task ends, whatever else arrives at the same moment.
+"""Tests that a cancellation is not lost when the awaited result arrives in the same step.
 
-Story: programs follow the store, the ledger and each other in loops that end by cancellation
-alone. `asyncio.wait_for` of Python 3.11 drops a cancellation that comes once the awaited future
-is done: it returns the result, or raises its error, and the loop around it goes on for ever. A
-leader that lost its lease goes on with its duties, and a process does not end.
-
-Evidence: without the mend each call returns or fails in place of ending cancelled, and the
-watcher still follows after it was stopped.
+`asyncio.wait_for` of Python 3.11 drops such a cancellation, so that a loop that ends only by
+cancellation would run forever.
 """
 
 from __future__ import annotations
@@ -31,18 +26,17 @@
 HOST = "127.0.0.1"
 CALL = EndJobCall("j")
 TIMEOUT_S = 30.0
-ENDED_WITHIN_STEPS = 200
-"""Steps of the event loop; a cancelled call needs fewer than ten."""
+MAX_STEPS = 200
 
 
-async def answered(request: Request) -> Reply:
-    """A ledger node that answers at once."""
+async def answer_call(request: Request) -> Reply:
+    """Answers as a ledger node."""
     return JobEnded()
 
 
-async def ended(task: asyncio.Task[Any]) -> bool:
-    """Whether a task ends within some steps of the event loop."""
-    for _ in range(ENDED_WITHIN_STEPS):
+async def ends_soon(task: asyncio.Task[Any]) -> bool:
+    """Whether a task ends within a bounded number of event loop steps."""
+    for _ in range(MAX_STEPS):
         if task.done():
             return True
         await asyncio.sleep(0)
@@ -50,13 +44,13 @@
 
 
 class CancelledCallTest(testtools.TestCase):
-    """Calls that are cancelled in the step in which their outcome arrives."""
+    """Calls cancelled in the event loop step in which their outcome arrives."""
 
     def outcome_of(self, event: str) -> str:
-        """How a call ends that is cancelled right after `event` of its connection."""
+        """Returns how a call ends when it is cancelled right after `event` of its connection."""
 
         async def run() -> str:
-            server = CallServer(answered)
+            server = CallServer(answer_call)
             port = free_port()
             await server.start(HOST, port)
             connection = await CallConnection.open((HOST, port))
@@ -67,17 +61,17 @@
                 connection.close()
             await asyncio.wait((task,))
             server.stop()
-            return "cancelled" if task.cancelled() else "went on"
+            return "cancelled" if task.cancelled() else "not cancelled"
 
         return asyncio.run(run())
 
-    def test_a_call_that_is_cancelled_with_its_reply_ends_cancelled(self) -> None:
+    def test_a_call_cancelled_with_its_reply_ends_cancelled(self) -> None:
         self.assertEqual("cancelled", self.outcome_of("data_received"))
 
-    def test_a_call_that_is_cancelled_with_the_loss_of_its_connection_ends_cancelled(self) -> None:
+    def test_a_call_cancelled_with_the_loss_of_its_connection_ends_cancelled(self) -> None:
         self.assertEqual("cancelled", self.outcome_of("connection_lost"))
 
-    def test_a_call_to_a_sampler_that_is_cancelled_with_its_answer_ends_cancelled(self) -> None:
+    def test_a_sampler_call_cancelled_with_its_answer_ends_cancelled(self) -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -99,15 +93,15 @@
 
 
 class CancelledWatchTest(testtools.TestCase):
-    """A loop that follows the store ends with its owner."""
+    """An object watcher cancelled in the step in which its reply arrives."""
 
-    def test_a_watcher_that_is_stopped_with_a_reply_follows_no_more(self) -> None:
+    def test_a_watcher_cancelled_with_a_reply_stops(self) -> None:
         async def run() -> bool:
-            server = CallServer(answered)
+            server = CallServer(answer_call)
             port = free_port()
             await server.start(HOST, port)
             connection = await CallConnection.open((HOST, port))
-            store = StoreOverCalls(connection)
+            store = CallBackedStore(connection)
             watcher = ObjectWatcher(
                 store,  # type: ignore[arg-type]
                 "things",
@@ -120,9 +114,9 @@
             watcher._revision = 0
             task = asyncio.get_running_loop().create_task(watcher.run())
             cancel_after(connection, "data_received", task)
-            await store.asked.wait()
-            await store.answered.wait()
-            stopped = await ended(task)
+            await store.watch_started.wait()
+            await store.watch_answered.wait()
+            stopped = await ends_soon(task)
             task.cancel()
             server.stop()
             return stopped
@@ -130,28 +124,28 @@
         self.assertTrue(asyncio.run(run()))
 
 
-class StoreOverCalls:
-    """A store whose first watch asks another node; the next one waits for ever."""
+class CallBackedStore:
+    """An object store whose first watch calls another node; later watches block."""
 
     def __init__(self, connection: CallConnection) -> None:
-        self.asked = asyncio.Event()
-        self.answered = asyncio.Event()
+        self.watch_started = asyncio.Event()
+        self.watch_answered = asyncio.Event()
         self._connection = connection
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """Changes, none of them."""
-        if self.asked.is_set():
+        """Returns no changes."""
+        if self.watch_started.is_set():
             await asyncio.Event().wait()
-        self.asked.set()
+        self.watch_started.set()
         try:
             await self._connection.call(CALL, TIMEOUT_S)
         finally:
-            self.answered.set()
+            self.watch_answered.set()
         return WatchBatch([], 1)
 
 
 def cancel_after(connection: Any, event: str, task: asyncio.Task[Any]) -> None:
-    """Cancels a task in the step in which an event of a connection was handled."""
+    """Cancels a task in the event loop step in which a connection event is handled."""
     handle: Callable[..., None] = getattr(connection, event)
 
     def handle_and_cancel(*arguments: object) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of other writers in the store: what nodes make of them."""
+"""Tests that nodes tolerate invalid entries of other writers in the object store."""
 
 from __future__ import annotations
 
@@ -17,47 +17,49 @@
 from stileloom.logging import EventLog, configure_logs
 from stileloom.service_settings import TimeBounds
 
-OWN = {"service": "s", "address": "10.0.0.1:80", "zone": "a", "slots": 4}
+VALID_SPEC = {"service": "s", "address": "10.0.0.1:80", "zone": "a", "slots": 4}
 
 
 class DirectoryTest(testtools.TestCase):
-    """A sampler whose entry another writer came over."""
+    """A sampler whose entry was overwritten by another writer."""
 
-    def directory(self) -> Directory:
-        """One that is told its records by hand."""
+    def make_directory(self) -> Directory:
+        """Creates a directory whose records are supplied by the test."""
         configure_logs("error")
         log = EventLog("node")
         store = NativeObjectStore(ObjectApi("127.0.0.1:1"))
         metrics = ProcessMetrics(CollectorRegistry(), log)
         return Directory(store, NativeDialect(), TimeBounds(), log, random.Random(1), metrics)
 
-    def test_it_is_not_used_meanwhile_and_judged_anew_when_its_own_entry_is_back(self) -> None:
-        directory = self.directory()
+    def test_an_overwritten_sampler_is_unused_until_its_entry_is_valid_again(self) -> None:
+        directory = self.make_directory()
         gone: list[str] = []
         directory.on_sampler_gone = gone.append
-        directory._samplers_listed([ObjectRecord("a", 1, OWN), ObjectRecord("b", 1, OWN)])
+        directory._samplers_listed(
+            [ObjectRecord("a", 1, VALID_SPEC), ObjectRecord("b", 1, VALID_SPEC)]
+        )
         foreign = ObjectRecord("a", 2, {"address": 7})
         directory._sampler_changed(ObjectEvent(False, foreign))
         self.assertEqual(["a"], gone)
         self.assertEqual(
             ["b"], [belief.entry.sampler_id for belief in directory.samplers.of_service("s")]
         )
-        directory._sampler_changed(ObjectEvent(False, ObjectRecord("a", 3, OWN)))
+        directory._sampler_changed(ObjectEvent(False, ObjectRecord("a", 3, VALID_SPEC)))
         self.assertEqual(2, len(directory.samplers.of_service("s")))
 
-    def test_it_hides_no_other_sampler_of_a_list(self) -> None:
-        directory = self.directory()
-        directory._samplers_listed([ObjectRecord("a", 1, None), ObjectRecord("b", 1, OWN)])
+    def test_an_invalid_entry_does_not_hide_other_samplers(self) -> None:
+        directory = self.make_directory()
+        directory._samplers_listed([ObjectRecord("a", 1, None), ObjectRecord("b", 1, VALID_SPEC)])
         self.assertTrue(directory.samplers.listed_once)
         self.assertEqual(1, len(directory.samplers.of_service("s")))
 
 
 class RegistrationTest(testtools.TestCase):
-    """Registrations of ledger nodes: one that was not understood ended the task that reads them."""
+    """An invalid registration must not end the task that reads registrations."""
 
-    def test_what_no_ledger_node_wrote_is_passed_by(self) -> None:
-        own = {"ledger": "10.0.0.2:1", "calls": "10.0.0.2:2", "disk": "d"}
-        specs = [None, "text", {}, {"calls": 5}, own | {"calls": "10.0.0.2"}, own]
+    def test_invalid_registrations_are_skipped(self) -> None:
+        valid = {"ledger": "10.0.0.2:1", "calls": "10.0.0.2:2", "disk": "d"}
+        specs = [None, "text", {}, {"calls": 5}, valid | {"calls": "10.0.0.2"}, valid]
         records = [ObjectRecord(f"node-{number}", 1, spec) for number, spec in enumerate(specs)]
         found = read_registrations(records)
         self.assertEqual(["node-5"], list(found))
--- a/tests/test_native_object_store.py
+++ b/tests/test_native_object_store.py
@@ -1,4 +1,4 @@
-"""The product's own object API behind the port: what watches see."""
+"""Tests of the object store adapter for stileloom's own object API."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class NativeObjectStoreTest(testtools.TestCase):
-    """Two readers of one store, as a ledger node has them."""
+    """Two readers of one object store, as in a ledger node."""
 
-    def test_each_watch_sees_all_changes_after_its_own_revision(self) -> None:
-        """A cache and a direct reader share one store: neither may take the other's changes."""
+    def test_each_watch_returns_all_changes_after_its_own_revision(self) -> None:
+        """Readers that share one object store must not consume each other's changes."""
 
         async def run() -> list[list[tuple[bool, str]]]:
             with object_api() as address:
@@ -37,7 +37,7 @@
         expected = [(False, "b"), (True, "a")]
         self.assertEqual([expected, expected], asyncio.run(run()))
 
-    def test_a_watch_from_an_unknown_revision_begins_with_a_list(self) -> None:
+    def test_a_watch_from_an_unknown_revision_reports_lost_history(self) -> None:
         async def run() -> ErrorKind:
             with object_api() as address:
                 store = NativeObjectStore(ObjectApi(address))
--- a/tests/test_object_watch.py
+++ b/tests/test_object_watch.py
@@ -1,4 +1,4 @@
-"""Following the store: what is asked after a failure, after lost history, and in which order."""
+"""Tests of the object watcher: calls after failures and lost history, and their order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ScriptedStore:
-    """A store that gives prepared answers in order and then waits for ever."""
+    """An object store that returns prepared answers in order and then blocks."""
 
     def __init__(self, answers: list[Any]) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -33,22 +33,22 @@
         return answer
 
     async def list_objects(self, kind: str) -> ObjectPage:
-        """A prepared page."""
+        """Returns the next answer."""
         return await self._next("list")
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """A prepared batch."""
+        """Returns the next answer."""
         return await self._next("watch", after_revision, wait_s)
 
 
-def down() -> StileloomError:
-    """What a store that does not answer raises."""
+def unavailable() -> StileloomError:
+    """Returns the error that an unavailable object store raises."""
     return StileloomError(ErrorKind.PLATFORM_UNAVAILABLE, "no answer")
 
 
-def follow(answers: list[Any]) -> tuple[list[tuple[Any, ...]], list[str]]:
-    """Calls of a watcher over prepared answers, and the names it told."""
-    told: list[str] = []
+def run_watcher(answers: list[Any]) -> tuple[list[tuple[Any, ...]], list[str]]:
+    """Returns the calls of a watcher over prepared answers, and the names it reported."""
+    reported: list[str] = []
 
     async def run() -> list[tuple[Any, ...]]:
         store = ScriptedStore(answers)
@@ -59,8 +59,8 @@
         watcher = ObjectWatcher(
             store,  # type: ignore[arg-type]
             "things",
-            lambda records: told.extend(record.name for record in records),
-            lambda event: told.append(event.record.name),
+            lambda records: reported.extend(record.name for record in records),
+            lambda event: reported.append(event.record.name),
             1.0,
             EventLog("n"),
             random.Random(1),
@@ -70,20 +70,20 @@
         exhausted = asyncio.ensure_future(store.exhausted.wait())
         await asyncio.wait((task, exhausted), return_when=asyncio.FIRST_COMPLETED)
         if task.done():
-            # It follows until it is cancelled: what ended it is the failure.
+            # The watcher only ends by cancellation, so this raises its failure.
             task.result()
         task.cancel()
         return store.calls
 
-    return asyncio.run(run()), told
+    return asyncio.run(run()), reported
 
 
 class ObjectWatcherTest(testtools.TestCase):
-    """One watcher over a scripted store."""
+    """A watcher over a scripted object store."""
 
-    def test_after_a_failure_it_asks_without_waiting(self) -> None:
-        """A store that comes back must be noticed by the first call, not by the end of a watch."""
-        calls, _ = follow([ObjectPage([], 7), down(), down(), WatchBatch([], 7)])
+    def test_calls_after_a_failure_do_not_wait(self) -> None:
+        """Recovery must be detected by the next call, not at the end of a watch."""
+        calls, _ = run_watcher([ObjectPage([], 7), unavailable(), unavailable(), WatchBatch([], 7)])
         self.assertEqual(
             [
                 ("list",),
@@ -95,23 +95,23 @@
             calls,
         )
 
-    def test_lost_history_begins_with_a_list(self) -> None:
+    def test_lost_history_is_followed_by_a_list(self) -> None:
         lost = StileloomError(ErrorKind.HISTORY_LOST, "gone")
         page = ObjectPage([ObjectRecord("b", 9, {})], 9)
-        calls, told = follow([ObjectPage([ObjectRecord("a", 3, {})], 7), lost, page])
+        calls, reported = run_watcher([ObjectPage([ObjectRecord("a", 3, {})], 7), lost, page])
         self.assertEqual([("list",), ("watch", 7, WATCH_WAIT_S), ("list",)], calls[:3])
-        self.assertEqual(["a", "b"], told)
+        self.assertEqual(["a", "b"], reported)
 
-    def test_goes_on_from_the_newest_revision(self) -> None:
+    def test_continues_from_the_newest_revision(self) -> None:
         event = ObjectEvent(False, ObjectRecord("a", 8, {}))
-        calls, told = follow([ObjectPage([], 7), WatchBatch([event], 12)])
+        calls, reported = run_watcher([ObjectPage([], 7), WatchBatch([event], 12)])
         self.assertEqual(("watch", 12, WATCH_WAIT_S), calls[-1])
-        self.assertEqual(["a"], told)
+        self.assertEqual(["a"], reported)
 
-    def test_a_store_that_is_down_for_long_is_followed_again(self) -> None:
-        """After a thousand failures in a row the pause could not be worked out any more."""
-        answers: list[Any] = [down()] * 1200
+    def test_watching_resumes_after_a_long_outage(self) -> None:
+        """Computing the backoff must not overflow after a thousand consecutive failures."""
+        answers: list[Any] = [unavailable()] * 1200
         answers.append(ObjectPage([ObjectRecord("a", 1, {})], 7))
-        calls, told = follow(answers)
-        self.assertEqual(["a"], told)
+        calls, reported = run_watcher(answers)
+        self.assertEqual(["a"], reported)
         self.assertEqual(("watch", 7, WATCH_WAIT_S), calls[-1])
