--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -1,4 +1,4 @@
-"""What a ledger node does while it leads: items, weight versions, the emptying of nodes."""
+"""Work of the ledger leader: job items, weight versions, expiry and node removals."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.service_settings import ServiceSettings
 
-VERSIONS_PAUSE_S = 0.1
-REMOVALS_PAUSE_S = 0.5
+VERSIONS_BATCH_DELAY_S = 0.1
+REMOVALS_BATCH_DELAY_S = 0.5
 REMOVALS_INTERVAL_S = 0.2
-EXPIRE_INTERVAL_S = 10.0
+EXPIRY_INTERVAL_S = 10.0
 RETENTION_MARGIN_S = 30.0
 
 
 class Leadership:
-    """One term of leading; everything here is memory."""
+    """One term of leadership; all state is in memory."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         log: EventLog,
         metrics: JobMetrics,
         rng: random.Random,
-        orders_from: float,
+        earliest_order_at: float,
     ) -> None:
         self.epoch = driver.replica.epoch
         self.runner = JobRunner(
             LeaderParts(
                 node_id=settings.node_id,
                 epoch=self.epoch,
-                orders_from=orders_from,
+                orders_from=earliest_order_at,
                 book=driver.state.job_book,
                 ledger=driver,
                 routes=directory.routes,
@@ -73,16 +73,16 @@
         self._quarantine_authority = quarantine
         self._log = log
         self._removals: dict[str, bool] = {}
-        """Nodes to be emptied, and whether the end was written."""
-        for belief in directory.samplers.all():
-            self.runner.sampler_seen(belief.entry.sampler_id, belief.entry.model_versions)
+        """Whether the removal of a node has been reported as finished, by node id."""
+        for tracked in directory.samplers.all():
+            self.runner.sampler_seen(tracked.entry.sampler_id, tracked.entry.model_versions)
         kinds = dialect.kinds
         versions = ObjectWatcher(
             store,
             kinds.versions,
             self._versions_listed,
             self._version_changed,
-            VERSIONS_PAUSE_S,
+            VERSIONS_BATCH_DELAY_S,
             log,
             rng,
         )
@@ -91,16 +91,16 @@
             kinds.removals,
             self._removals_listed,
             self._removal_changed,
-            REMOVALS_PAUSE_S,
+            REMOVALS_BATCH_DELAY_S,
             log,
             rng,
         )
         self._tasks = BackgroundTasks(log)
-        for work in (versions.run(), removals.run(), self._carry_out_removals(), self._expire()):
+        for work in (versions.run(), removals.run(), self._run_removals(), self._run_expiry()):
             self._tasks.spawn(work)
 
     def stop(self) -> None:
-        """Leads no more."""
+        """Stops all work of this term."""
         self._tasks.cancel()
         self.runner.stop()
 
@@ -108,54 +108,54 @@
 
     def _versions_listed(self, records: list[ObjectRecord]) -> None:
         for record in records:
-            self._note_version(record)
+            self._handle_version(record)
         self.runner.versions_listed()
 
     def _version_changed(self, event: ObjectEvent) -> None:
         if not event.gone:
-            self._note_version(event.record)
+            self._handle_version(event.record)
 
-    def _note_version(self, record: ObjectRecord) -> None:
+    def _handle_version(self, record: ObjectRecord) -> None:
         try:
-            named = self._dialect.decode_version(record.spec)
+            decoded = self._dialect.decode_version(record.spec)
         except StileloomError as error:
             fields: dict[str, object] = {"name": record.name, "detail": error.detail}
             self._log.emit(LogEvent.OBJECT_NOT_UNDERSTOOD, {"what": "version", **fields})
             return
-        self.runner.version_named(named.model, named.version)
+        self.runner.version_named(decoded.model, decoded.version)
 
-    # Jobs that nobody may ask for any more.
+    # Expiry.
 
-    async def _expire(self) -> None:
+    async def _run_expiry(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_INTERVAL_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             for command in self.runner.expired(self._retention_s):
                 try:
                     await self._driver.propose(command)
                 except StileloomError:
                     break
             with contextlib.suppress(StileloomError):
-                # Leadership was lost meanwhile: the next leader does it.
+                # Leadership was lost: the next leader repeats the expiry.
                 await self._quarantine_authority.forget_expired()
 
-    # Emptying of nodes.
+    # Node removals.
 
     def _removals_listed(self, records: list[ObjectRecord]) -> None:
         for record in records:
-            self._note_removal(record)
+            self._handle_removal(record)
 
     def _removal_changed(self, event: ObjectEvent) -> None:
         if not event.gone:
-            self._note_removal(event.record)
+            self._handle_removal(event.record)
 
-    def _note_removal(self, record: ObjectRecord) -> None:
+    def _handle_removal(self, record: ObjectRecord) -> None:
         finished = record.status == self._dialect.removal_status(finished=True)
         if record.name not in self._removals:
             self._log.emit(LogEvent.LEDGER_NODE_RETIRING, {"retiring": record.name})
         self._removals[record.name] = finished or self._removals.get(record.name, False)
 
-    async def _carry_out_removals(self) -> None:
-        """Empties nodes: out of the voter set first, then the status is written."""
+    async def _run_removals(self) -> None:
+        """Removes nodes from the voter set, then reports the removal as finished."""
         while True:
             await asyncio.sleep(REMOVALS_INTERVAL_S)
             for node_id, finished in list(self._removals.items()):
@@ -164,7 +164,7 @@
                 try:
                     await self._remove(node_id)
                 except StileloomError:
-                    # The store or the majority is away: the next round tries again.
+                    # The object store or the majority is unavailable: retry at the next interval.
                     continue
 
     async def _remove(self, node_id: str) -> None:
@@ -173,16 +173,16 @@
             await self._driver.propose(RetireNode(node_id))
             running = self._dialect.removal_status(finished=False)
             await self._store.write_status(kind, node_id, running)
-        if self._is_out(node_id):
-            # Each voter that takes this entry has on disk, with it, that the change is committed:
-            # it may have to go on without the node whose machine is taken away now.
+        if self._has_left_voter_set(node_id):
+            # This second entry makes the commit of the voter change durable on the remaining
+            # voters, which may have to continue without the removed node.
             await self._driver.propose(RetireNode(node_id))
             finished = self._dialect.removal_status(finished=True)
             await self._store.write_status(kind, node_id, finished)
             self._removals[node_id] = True
 
-    def _is_out(self, node_id: str) -> bool:
-        """Whether the node has left the voter set, by a committed change."""
+    def _has_left_voter_set(self, node_id: str) -> bool:
+        """Whether a committed change has removed the node from the voter set."""
         in_state = {voter.node_id for voter in self._driver.state.voters}
         in_log = {voter.node_id for voter in self._driver.replica.voters}
         return node_id not in in_state | in_log and self._driver.may_act()
--- a/stileloom/daemon/ledger_driver.py
+++ b/stileloom/daemon/ledger_driver.py
@@ -1,4 +1,4 @@
-"""Drives a ledger replica: monotonic clock, sockets to the other replicas, disk."""
+"""Runs a ledger replica with a monotonic clock, sockets to the other replicas and a disk."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 class LedgerDriver:
-    """One replica of this process."""
+    """Runs the replica of this process."""
 
     def __init__(
         self,
         replica: LedgerReplica,
         storage: LedgerStorage,
-        me: Sender,
+        local_sender: Sender,
         seeds: list[tuple[str, int]],
         log: EventLog,
         metrics: JobMetrics,
@@ -44,27 +44,29 @@
     ) -> None:
         self.replica = replica
         self._storage = storage
-        self._me = me
+        self._local_sender = local_sender
         self._log = log
         self._metrics = metrics
-        self._addresses = PeerAddresses((me.host, me.port), seeds)
-        self._network = Network(LedgerCodec(me, self._addresses, compress), self._received)
+        self._addresses = PeerAddresses((local_sender.host, local_sender.port), seeds)
+        self._network = Network(
+            LedgerCodec(local_sender, self._addresses, compress), self._received
+        )
         self._disk = ThreadPoolExecutor(max_workers=1, thread_name_prefix="ledger")
         self._writes: list[Persist] = []
         self._writing = False
-        self._write_began_at = 0.0
+        self._write_started_at = 0.0
         self._disk_failing = False
         self._stopped = False
         self._next_hello_at = 0.0
         self._ticker = Ticker(self._tick, TICK_S)
 
     async def start(self, listen_host: str) -> None:
-        """Listens and starts the clock. Raises `OSError` where the port is taken."""
-        await self._network.start(listen_host, self._me.port)
+        """Starts listening and the ticker. Raises `OSError` if the port is in use."""
+        await self._network.start(listen_host, self._local_sender.port)
         self._ticker.start()
 
     def stop(self) -> None:
-        """Stops the clock, sockets and disk."""
+        """Stops the ticker, closes the sockets and waits for pending writes."""
         self._stopped = True
         self._ticker.stop()
         self._network.stop()
@@ -77,7 +79,7 @@
         return self.replica.state
 
     def hand_over(self) -> None:
-        """Gives leadership to another replica, if this one has it."""
+        """Transfers leadership to another replica if this one leads."""
         self._run(self.replica.hand_over(steady_time()))
 
     def may_act(self) -> bool:
@@ -85,28 +87,28 @@
         return not self._stopped and self.replica.may_act(steady_time())
 
     def leader_address(self) -> tuple[str, int] | None:
-        """Where the leader is, as far as this replica knows."""
+        """Returns the address of the last known leader."""
         leader = self.replica.leader
         if leader is None:
             return None
         if leader == self.replica.me.node_id:
-            return (self._me.host, self._me.port)
+            return (self._local_sender.host, self._local_sender.port)
         return self._addresses.of(leader)
 
-    def learn_address(self, node_id: str, address: tuple[str, int]) -> None:
-        """The store says where a node is."""
+    def set_peer_address(self, node_id: str, address: tuple[str, int]) -> None:
+        """Records a node address that is registered in the object store."""
         self._addresses.listed(node_id, address)
 
-    def misses_peers(self) -> bool:
-        """Whether a voter's address is not known, or nobody leads as far as is known."""
+    def needs_peer_lookup(self) -> bool:
+        """Whether a voter's address or the leader is unknown."""
         others = [voter.node_id for voter in self.replica.voters if voter != self.replica.me]
         unknown = any(self._addresses.of(node_id) is None for node_id in others)
         return unknown or self.replica.leader is None
 
     async def propose(self, command: Command) -> CommandResult:
-        """Commits a command.
+        """Commits a command and returns its result.
 
-        Raises `StileloomError` (LEDGER_UNAVAILABLE, outcome unknown) where leadership is lost.
+        Raises `StileloomError` (LEDGER_UNAVAILABLE, outcome unknown) if leadership is lost.
         """
         future: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
         proposed_at = steady_time()
@@ -118,13 +120,13 @@
     def _tick(self) -> None:
         now = steady_time()
         self._run(self.replica.tick(now))
-        alone = not self.replica.is_voter and not self.replica.hears_leader(now)
-        if alone and now >= self._next_hello_at:
+        needs_leader = not self.replica.is_voter and not self.replica.hears_leader(now)
+        if needs_leader and now >= self._next_hello_at:
             self._next_hello_at = now + HELLO_INTERVAL_S
-            self._say_hello()
+            self._send_hello()
 
-    def _say_hello(self) -> None:
-        """A replica outside the voter set that knows no leader asks every address it knows."""
+    def _send_hello(self) -> None:
+        """Announces a learner without a known leader to all known addresses."""
         hello = LearnerHello(self.replica.me)
         for address in self._addresses.everyone():
             self._network.send(address, hello)
@@ -141,7 +143,7 @@
                     self._network.send(address, effect.message)
             elif isinstance(effect, Persist):
                 self._writes.append(effect)
-                self._start_writing()
+                self._start_write()
             elif isinstance(effect, Emit):
                 self._log.emit(effect.event, effect.fields)
             elif isinstance(effect, Applied | Dropped):
@@ -155,11 +157,14 @@
             future.set_result(effect.result)
         else:
             future.set_exception(
-                StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "leadership was lost")
+                StileloomError(
+                    ErrorKind.LEDGER_UNAVAILABLE,
+                    "leadership was lost; the outcome of the command is unknown",
+                )
             )
 
-    def _start_writing(self) -> None:
-        """Everything that piled up during one sync goes into the next."""
+    def _start_write(self) -> None:
+        """Writes the effects that were queued during the previous sync as one batch."""
         if self._writing or not self._writes:
             return
         self._writing = True
@@ -169,27 +174,27 @@
     def _write(self, batch: list[Persist]) -> None:
         if self._stopped:
             return
-        self._write_began_at = steady_time()
+        self._write_started_at = steady_time()
         future = IOLoop.current().run_in_executor(self._disk, self._storage.write, batch)
-        IOLoop.current().add_future(future, lambda done: self._written(done, batch))
+        IOLoop.current().add_future(future, lambda done: self._write_finished(done, batch))
 
-    def _written(self, done: asyncio.Future[None], batch: list[Persist]) -> None:
+    def _write_finished(self, done: asyncio.Future[None], batch: list[Persist]) -> None:
         error = done.exception()
         if isinstance(error, OSError):
-            # Nothing is said about what the disk holds until it has taken these writes.
-            self._note_disk(failing=True, detail=repr(error))
+            # Writes are acknowledged only once they are durable, so retry the same batch.
+            self._set_disk_failing(failing=True, detail=repr(error))
             asyncio.get_running_loop().call_later(DISK_RETRY_S, self._write, batch)
             return
         done.result()
-        self._note_disk(failing=False, detail="")
-        self._metrics.sync.observe(steady_time() - self._write_began_at)
+        self._set_disk_failing(failing=False, detail="")
+        self._metrics.sync.observe(steady_time() - self._write_started_at)
         self._writing = False
         if self._stopped:
             return
         self._run(self.replica.persisted(steady_time(), batch[-1].write_id))
-        self._start_writing()
+        self._start_write()
 
-    def _note_disk(self, failing: bool, detail: str) -> None:
+    def _set_disk_failing(self, failing: bool, detail: str) -> None:
         if failing == self._disk_failing:
             return
         self._disk_failing = failing
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -1,4 +1,4 @@
-"""The ledger process: a replica, and while it leads, the runs of items and the orders."""
+"""The ledger node process: a ledger replica and, while it leads, job execution and orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stileloom.daemon.directory import Directory
 from stileloom.daemon.leadership import Leadership
 from stileloom.daemon.ledger_driver import LedgerDriver
-from stileloom.daemon.ledger_start import PeerRegistry, open_ledger_patiently
+from stileloom.daemon.ledger_start import PeerRegistry, open_ledger_with_retry
 from stileloom.daemon.metrics_server import start_metrics_server
 from stileloom.daemon.process_metrics import ProcessMetrics
 from stileloom.daemon.signals import handle_signals
@@ -45,13 +45,13 @@
 from stileloom.transport.call_frames import Reply, Request
 from stileloom.transport.calls import CallServer
 
-STEP_S = 0.1
-HAND_OVER_S = 0.3
-"""Time for the successor's election, in which this node still votes."""
+STEP_INTERVAL_S = 0.1
+LEADERSHIP_TRANSFER_S = 0.3
+"""How long this node stays up to vote in the election of its successor."""
 
 
 class LedgerNode:
-    """All parts of a ledger process."""
+    """The components of a ledger node process."""
 
     def __init__(self, settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
         self._settings = settings
@@ -95,12 +95,12 @@
             self._guard,
         )
         self._forwarder = Forwarder(access, switches.hedging)
-        self._directory.on_sampler = self._sampler_seen
-        self._directory.on_sampler_gone = self._sampler_gone
+        self._directory.on_sampler = self._on_sampler_listed
+        self._directory.on_sampler_gone = self._on_sampler_removed
         self._stopping = asyncio.Event()
-        self._voters_told: list[Voter] = []
+        self._reported_voters: list[Voter] = []
         self._order_windows = OrderWindows()
-        self._ticker = Ticker(self._step, STEP_S)
+        self._ticker = Ticker(self._step, STEP_INTERVAL_S)
         self._driver: LedgerDriver | None = None
         self._service: JobService | None = None
         self._leadership: Leadership | None = None
@@ -109,7 +109,7 @@
         self._tasks = BackgroundTasks(self._log)
 
     async def run(self) -> None:
-        """Serves until it is told to stop."""
+        """Serves until `stop` is called."""
         await self._start()
         await self._stopping.wait()
         self._log.emit(LogEvent.DRAIN_STARTED, {"leading": self.leads()})
@@ -117,14 +117,14 @@
         self._stop_leading("stopped")
         if self._driver is not None:
             self._driver.hand_over()
-            await asyncio.sleep(HAND_OVER_S)
+            await asyncio.sleep(LEADERSHIP_TRANSFER_S)
         self.abort()
         self._log.emit(LogEvent.NODE_STOPPED, {})
 
     async def _start(self) -> None:
         settings = self._settings
         kinds = self._dialect.kinds
-        opened = await open_ledger_patiently(settings, self._store, kinds.voter_set, self._log)
+        opened = await open_ledger_with_retry(settings, self._store, kinds.voter_set, self._log)
         replica = LedgerReplica(
             opened.identity,
             opened.recovered,
@@ -133,11 +133,11 @@
             settings.voters,
             settings.switches,
         )
-        me = Sender(settings.node_id, *split_address(settings.ledger))
+        local_sender = Sender(settings.node_id, *split_address(settings.ledger))
         seeds = [split_address(peer) for peer in settings.peers]
         compress = settings.switches.compressed_frames
         driver = LedgerDriver(
-            replica, opened.storage, me, seeds, self._log, self._metrics, compress
+            replica, opened.storage, local_sender, seeds, self._log, self._metrics, compress
         )
         self._metrics.observe_replica(
             self.leads,
@@ -147,9 +147,9 @@
         )
         self._driver = driver
         self._service = JobService(
-            _CallsLedger(driver, settings.calls_port), self._quarantine_authority, self._log
+            _CallAddressLedger(driver, settings.calls_port), self._quarantine_authority, self._log
         )
-        self._calls = CallServer(self._answer, compress)
+        self._calls = CallServer(self._handle_call, compress)
         await self._calls.start(settings.listen_host, settings.calls_port)
         await driver.start(settings.listen_host)
         if settings.metrics_port:
@@ -158,25 +158,25 @@
             )
         self._directory.start()
         registry = PeerRegistry(settings, self._store, kinds.ledger_nodes, driver, self._log)
-        self._tasks.spawn(registry.follow())
+        self._tasks.spawn(registry.run())
         self._ticker.start()
         self._log.emit(
             LogEvent.NODE_STARTED,
             {"role": "ledger", "zone": settings.zone, "voter": replica.is_voter},
         )
 
-    async def _answer(self, request: Request) -> Reply:
+    async def _handle_call(self, request: Request) -> Reply:
         if isinstance(request, ReadObjectsCall):
             return await self._cache.read(request)
         assert self._service is not None
         return await self._service.handle(request)
 
     def stop(self) -> None:
-        """Ends the process; leadership is given up first."""
+        """Requests a graceful shutdown, which transfers leadership first."""
         self._stopping.set()
 
     def reload(self) -> None:
-        """Settings name only addresses and bounds of this start: nothing is taken over."""
+        """Logs the request; all settings of this process are fixed at startup."""
         self._log.emit(LogEvent.SETTINGS_RELOADED, {})
 
     def leads(self) -> bool:
@@ -184,17 +184,17 @@
         return self._leadership is not None
 
     def is_voter(self) -> bool:
-        """Whether this node, with its disk, is in the voter set."""
+        """Whether this node and its current disk are in the voter set."""
         return self._driver is not None and self._driver.replica.is_voter
 
     def voter_names(self) -> list[str]:
-        """The voter set as this node sees it."""
+        """Returns the node ids of the voter set known to this node."""
         if self._driver is None:
             return []
         return [voter.node_id for voter in self._driver.replica.voters]
 
     def abort(self) -> None:
-        """Ends at once; the disk holds what was acknowledged."""
+        """Stops immediately; acknowledged writes are already durable."""
         self._ticker.stop()
         self._tasks.cancel()
         self._stop_leading("stopped")
@@ -223,27 +223,27 @@
         if leads and self._leadership is None:
             self._start_leading(self._driver)
         voters = self._driver.replica.voters
-        if voters != self._voters_told:
-            self._voters_told = list(voters)
+        if voters != self._reported_voters:
+            self._reported_voters = list(voters)
             names = [voter.node_id for voter in voters]
             self._log.emit(LogEvent.VOTERS_CHANGED, {"voters": names})
         self._quarantine_authority.step()
         if self._leadership is not None:
-            self._follow_quarantine()
+            self._update_guard()
             self._leadership.runner.step()
 
-    def _follow_quarantine(self) -> None:
-        """This node's own guard takes the list straight from the replica."""
+    def _update_guard(self) -> None:
+        """Updates the local guard from the replica's quarantine list."""
         book = self.quarantine()
         if book.revision != self._guard.view.revision:
             self._guard.learn(book.listing(time.time()))
 
     def may_act(self) -> bool:
-        """Whether this node's replica leads."""
+        """Whether this node's replica leads and holds its lease now."""
         return self._driver is not None and self._driver.may_act()
 
     def quarantine(self) -> QuarantineBook:
-        """Requests under which samplers ended, as far as this replica knows."""
+        """Returns the requests associated with sampler crashes, as applied by this replica."""
         return self._driver.state.quarantine if self._driver is not None else QuarantineBook()
 
     async def propose(self, command: Command) -> CommandResult:
@@ -265,12 +265,12 @@
             self._log,
             self._metrics,
             self._rng,
-            self._orders_from(driver.state),
+            self._earliest_order_at(driver.state),
         )
         self._service.runner = self._leadership.runner
         self._log.emit(LogEvent.CONTROLLER_STARTED, {"epoch": self._leadership.epoch})
 
-    def _orders_from(self, state: LedgerState) -> float:
+    def _earliest_order_at(self, state: LedgerState) -> float:
         lease_s = self._settings.bounds.order_lease_s
         if not self._settings.switches.order_windows:
             return steady_time() + lease_s
@@ -286,18 +286,18 @@
             self._service.runner = None
         self._log.emit(LogEvent.CONTROLLER_STOPPED, {"reason": reason})
 
-    def _sampler_seen(self, entry: SamplerEntry) -> None:
+    def _on_sampler_listed(self, entry: SamplerEntry) -> None:
         if self._leadership is not None:
             self._leadership.runner.sampler_seen(entry.sampler_id, entry.model_versions)
 
-    def _sampler_gone(self, sampler_id: str) -> None:
+    def _on_sampler_removed(self, sampler_id: str) -> None:
         self._forwarder.forget(sampler_id)
         if self._leadership is not None:
             self._leadership.runner.sampler_gone(sampler_id)
 
 
-class _CallsLedger:
-    """The ledger as the job service sees it: addresses are those for calls."""
+class _CallAddressLedger:
+    """The ledger interface of the job service, with call addresses in place of ledger addresses."""
 
     def __init__(self, driver: LedgerDriver, calls_port: int) -> None:
         self._driver = driver
@@ -313,7 +313,7 @@
         return self._driver.may_act()
 
     def leader_address(self) -> tuple[str, int] | None:
-        """Where the leader takes calls."""
+        """Returns the call address of the last known leader."""
         address = self._driver.leader_address()
         return (address[0], self._calls_port) if address is not None else None
 
@@ -325,7 +325,7 @@
 async def serve_ledger_node(
     settings: ServiceSettings, store: ObjectStore, dialect: Dialect
 ) -> None:
-    """Runs a ledger node until it is told to stop."""
+    """Runs a ledger node until it is stopped by a signal."""
     node = LedgerNode(settings, store, dialect)
     handle_signals(node)
     await node.run()
--- a/stileloom/daemon/ledger_start.py
+++ b/stileloom/daemon/ledger_start.py
@@ -1,4 +1,4 @@
-"""How a ledger node starts: its disk's identity, the first voter set, its entry in the store."""
+"""Startup of a ledger node: disk identity, initial voter set, registration in the store."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 class OpenedLedger(msgspec.Struct, frozen=True):
-    """What a disk holds, opened for writing."""
+    """Recovered ledger state and its storage, opened for writing."""
 
     identity: Voter
     recovered: RecoveredLedger
     storage: LedgerStorage
 
 
-async def open_ledger_patiently(
+async def open_ledger_with_retry(
     settings: ServiceSettings, store: ObjectStore, voter_set_kind: str, log: EventLog
 ) -> OpenedLedger:
-    """Opens the ledger; waits while the disk refuses writes."""
+    """Opens the ledger; retries while the disk rejects writes."""
     failing = False
     while True:
         try:
@@ -57,9 +57,9 @@
 async def open_ledger(
     settings: ServiceSettings, store: ObjectStore, voter_set_kind: str, log: EventLog
 ) -> OpenedLedger:
-    """The ledger of this disk; at the deployment's first start the voters agree first.
+    """Opens the ledger of this disk and agrees on voters at the first start of a deployment.
 
-    A disk that is empty later is a learner without a voter set: it waits for a leader.
+    A node whose disk is empty at a later start is a learner and waits for a leader.
     """
     storage = LedgerStorage(Path(settings.data_folder))
     identity = storage.read_identity()
@@ -80,32 +80,32 @@
 
 
 async def agree_on_voters(
-    store: ObjectStore, kind: str, me: Voter, target_count: int
+    store: ObjectStore, kind: str, local_voter: Voter, target_count: int
 ) -> list[Voter]:
-    """The first voter set, by compare-and-swap; waits while the store is away."""
+    """Agrees on the initial voter set by compare-and-swap; retries while the store is down."""
     while True:
         try:
             record = await store.get_object(kind, VOTER_SET_NAME)
             current = msgspec.convert(record.spec, VoterSetRecord) if record is not None else None
             if current is not None and current.sealed:
                 return current.voters
-            entered = enter_voter_set(current, me, target_count)
-            if entered is not None:
-                spec = msgspec.to_builtins(entered)
+            updated = enter_voter_set(current, local_voter, target_count)
+            if updated is not None:
+                spec = msgspec.to_builtins(updated)
                 if record is None:
                     await store.create_object(kind, VOTER_SET_NAME, spec)
                 else:
                     await store.replace_object(kind, msgspec.structs.replace(record, spec=spec))
                 continue
         except StileloomError as error:
-            # Down, or another node was first: look again.
+            # The object store is unavailable, or another node wrote first: read again.
             if error.kind not in (ErrorKind.PLATFORM_UNAVAILABLE, ErrorKind.CONFLICT):
                 raise
         await asyncio.sleep(BOOTSTRAP_RETRY_S)
 
 
 class PeerRegistry:
-    """This node's entry in the store, and the entries of the others."""
+    """Registers this node in the object store and reads the addresses of other nodes."""
 
     def __init__(
         self,
@@ -121,13 +121,13 @@
         self._driver = driver
         self._log = log
 
-    async def follow(self) -> None:
-        """Registers this node, and asks the store for the others while one is not known."""
+    async def run(self) -> None:
+        """Registers this node, and reads the other registrations while a peer is unknown."""
         registered = False
         failing = False
         while True:
             try:
-                if not registered or self._driver.misses_peers():
+                if not registered or self._driver.needs_peer_lookup():
                     await self._register()
                     registered = True
                     failing = False
@@ -146,15 +146,15 @@
         )
         spec = msgspec.to_builtins(registration)
         page = await self._store.list_objects(self._kind)
-        self._learn(page.records)
-        mine = [record for record in page.records if record.name == self._settings.node_id]
-        if not mine:
+        self._update_peer_addresses(page.records)
+        own_records = [record for record in page.records if record.name == self._settings.node_id]
+        if not own_records:
             await self._store.create_object(self._kind, self._settings.node_id, spec)
-        elif mine[0].spec != spec:
-            changed = msgspec.structs.replace(mine[0], spec=spec)
+        elif own_records[0].spec != spec:
+            changed = msgspec.structs.replace(own_records[0], spec=spec)
             await self._store.replace_object(self._kind, changed)
 
-    def _learn(self, records: list[ObjectRecord]) -> None:
+    def _update_peer_addresses(self, records: list[ObjectRecord]) -> None:
         for node_id, registration in read_registrations(records).items():
             if node_id != self._settings.node_id:
-                self._driver.learn_address(node_id, registration.ledger_address)
+                self._driver.set_peer_address(node_id, registration.ledger_address)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -42,7 +42,7 @@
         directory._sampler_changed(ObjectEvent(False, foreign))
         self.assertEqual(["a"], gone)
         self.assertEqual(
-            ["b"], [belief.entry.sampler_id for belief in directory.samplers.of_service("s")]
+            ["b"], [tracked.entry.sampler_id for tracked in directory.samplers.of_service("s")]
         )
         directory._sampler_changed(ObjectEvent(False, ObjectRecord("a", 3, VALID_SPEC)))
         self.assertEqual(2, len(directory.samplers.of_service("s")))
