--- a/stileloom/daemon/__init__.py
+++ b/stileloom/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: sockets, signals, disk and clock around a node core."""
+"""Server processes: the sockets, signals, disk and clocks around the core logic."""
--- a/stileloom/daemon/engine_client.py
+++ b/stileloom/daemon/engine_client.py
@@ -1,4 +1,4 @@
-"""Speaks the engines' HTTP protocol: streams, cancellation, load, fenced orders."""
+"""HTTP client of the engines: streams, cancellation, load reports and fenced orders."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 class StreamFailure(msgspec.Struct, frozen=True):
-    """Why a stream ended without its last frame."""
+    """Why a stream ended without its final frame."""
 
     surely_not_begun: bool
     detail: str
 
 
 class FrameParser:
-    """Splits server-sent events into frames."""
+    """Decodes frames from a stream of server-sent events."""
 
     def __init__(self, on_frame: Callable[[Frame], None]) -> None:
         self._on_frame = on_frame
         self._buffer = b""
 
     def feed(self, data: bytes) -> None:
-        """Takes the next bytes. Raises `msgspec.DecodeError` on a malformed frame."""
+        """Parses the next bytes. Raises `msgspec.DecodeError` on a malformed frame."""
         self._buffer += data
         while True:
             event, separator, rest = self._buffer.partition(b"\n\n")
@@ -62,15 +62,15 @@
     async def stream(
         self, address: str, request: GenerateRequest, on_frame: Callable[[Frame], None]
     ) -> StreamFailure | None:
-        """Runs a generation; returns None once the stream has ended whole."""
+        """Runs a generation; returns None if the stream ended with its final frame."""
         ended = False
 
-        def take(frame: Frame) -> None:
+        def handle_frame(frame: Frame) -> None:
             nonlocal ended
             ended = ended or isinstance(frame, StreamEnd)
             on_frame(frame)
 
-        parser = FrameParser(take)
+        parser = FrameParser(handle_frame)
         http_request = HTTPRequest(
             f"http://{address}/v1/completions",
             method="POST",
@@ -85,17 +85,17 @@
         except HTTPTimeoutError as error:
             return StreamFailure("connecting" in str(error), str(error))
         except HTTPClientError as error:
-            # The engine answered with a refusal: it says so before it begins.
+            # An engine returns these codes only before it starts a generation.
             refused = error.code in (400, 404, 409, 429, 503)
             return StreamFailure(refused, f"engine answered {error.code}")
         except ConnectionRefusedError as error:
             return StreamFailure(True, str(error))
         except (OSError, msgspec.DecodeError) as error:
             return StreamFailure(False, str(error))
-        return None if ended else StreamFailure(False, "the stream was cut")
+        return None if ended else StreamFailure(False, "the stream ended without its final frame")
 
     async def cancel(self, address: str, request_id: str) -> CancelState | None:
-        """Cancels by id; None where the engine did not answer."""
+        """Cancels a request by id; returns None if the engine did not respond."""
         request = HTTPRequest(
             f"http://{address}/v1/cancellations",
             method="POST",
@@ -103,23 +103,23 @@
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=CONTROL_TIMEOUT_S,
         )
-        body = await self._control(request)
+        body = await self._fetch_body(request)
         return msgspec.json.decode(body, type=CancelReply).state if body is not None else None
 
     async def load(self, address: str) -> LoadReport | None:
-        """Reads the load; None where the engine did not answer."""
+        """Reads the load report; returns None if the engine did not respond."""
         request = HTTPRequest(
             f"http://{address}/v1/load",
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=CONTROL_TIMEOUT_S,
         )
-        body = await self._control(request)
+        body = await self._fetch_body(request)
         return msgspec.json.decode(body, type=LoadReport) if body is not None else None
 
     async def order(self, address: str, order: EngineOrder) -> bool:
-        """Sends a fenced order; False where it was refused or the engine did not answer.
+        """Sends a fenced order; returns False if it was rejected or the engine did not respond.
 
-        Whether it was carried out shows only in the next load report.
+        The next load report shows whether the order was executed.
         """
         request = HTTPRequest(
             f"http://{address}/v1/orders",
@@ -128,9 +128,9 @@
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=ORDER_TIMEOUT_S,
         )
-        return await self._control(request) is not None
+        return await self._fetch_body(request) is not None
 
-    async def _control(self, request: HTTPRequest) -> bytes | None:
+    async def _fetch_body(self, request: HTTPRequest) -> bytes | None:
         try:
             response = await self._http.fetch(request)
         except (TimeoutError, HTTPClientError, OSError):
--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway process: callers in front, samplers and ledger nodes behind."""
+"""The gateway process: serves callers from samplers and ledger nodes."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 
 DRAIN_POLL_S = 0.05
 DRAIN_MARGIN_S = 1.5
-"""Kept back of the grace period for closing."""
+"""Part of the grace period that is reserved for closing connections."""
 DRAIN_NOTICE_S = 2.5
-"""How long a draining gateway still takes requests: until callers are sent elsewhere."""
-RELOOKUP_PAUSE_S = 1.0
+"""How long a draining gateway accepts requests, so that load balancers can redirect callers."""
+LOOKUP_INTERVAL_S = 1.0
 SUSPECTS_PATIENCE_S = 1.0
-"""A gateway that starts calls itself ready no sooner than it knows which requests are held; the
-list comes within some 50 ms of a leader's answer. Without a leader lookups must go on."""
+"""How long readiness waits for the list of quarantined requests. Lookups must be served even
+without a leader, so the gateway then becomes ready without the list."""
 MAX_HEADER_BYTES = 65_536
-IDLE_MARGIN_S = 2.0
+IDLE_TIMEOUT_MARGIN_S = 2.0
 
 
 class Gateway:
-    """All parts of a gateway."""
+    """The components of a gateway process."""
 
     def __init__(self, settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
         self._settings = settings
@@ -93,7 +93,7 @@
         )
         self._forwarder = Forwarder(access, switches.hedging)
         self._relay = StreamRelay(access)
-        self.directory.on_sampler_gone = self._forget_sampler
+        self.directory.on_sampler_gone = self._remove_sampler
         self.front = Front(
             dialect,
             self.directory.routes,
@@ -105,12 +105,12 @@
             switches.kept_results,
         )
         metrics.observe_open(lambda: self.front.open_requests)
-        self._looked_up_at = float("-inf")
+        self._last_lookup_at = float("-inf")
         self._created_at = steady_time()
         self._tasks = BackgroundTasks(self._log)
 
     async def run(self) -> None:
-        """Serves until SIGTERM; returns after the drain."""
+        """Serves until `stop` is called; returns after the drain."""
         started_at = steady_time()
         servers = self._listen()
         self.started.set()
@@ -124,8 +124,8 @@
             server.stop()
             await server.close_all_connections()
         self.abort()
-        lived_s = round(steady_time() - started_at, 1)
-        self._log.emit(LogEvent.NODE_STOPPED, {"lived_s": lived_s})
+        uptime_s = round(steady_time() - started_at, 1)
+        self._log.emit(LogEvent.NODE_STOPPED, {"lived_s": uptime_s})
 
     def _listen(self) -> list[HTTPServer]:
         front = HTTPServer(
@@ -133,7 +133,7 @@
             max_header_size=MAX_HEADER_BYTES,
             max_body_size=self.front.max_body_bytes,
             max_buffer_size=self.front.max_body_bytes + MAX_HEADER_BYTES,
-            idle_connection_timeout=self.front.idle_timeout_s + IDLE_MARGIN_S,
+            idle_connection_timeout=self.front.idle_timeout_s + IDLE_TIMEOUT_MARGIN_S,
         )
         host, port = split_address(self._settings.front)
         front.listen(port, address=host, backlog=1024)
@@ -149,53 +149,53 @@
         return servers
 
     def _is_ready(self) -> bool:
-        return not self.front.draining and self.directory.complete and self._knows_suspects()
+        return not self.front.draining and self.directory.complete and self._quarantine_known()
 
-    def _knows_suspects(self) -> bool:
-        """Whether the list of held requests is known, or no leader gave it in time."""
-        late = steady_time() > self._created_at + SUSPECTS_PATIENCE_S
-        return late or self._guard.view.revision >= 0
+    def _quarantine_known(self) -> bool:
+        """Whether the list of quarantined requests is known or waiting for it has timed out."""
+        timed_out = steady_time() > self._created_at + SUSPECTS_PATIENCE_S
+        return timed_out or self._guard.view.revision >= 0
 
     def stop(self) -> None:
-        """Begins the drain."""
+        """Starts the drain."""
         self._stopping.set()
 
     def abort(self) -> None:
-        """Follows and reports nothing more, and closes the connections to ledger nodes."""
+        """Stops watches and reports, and closes the connections to ledger nodes."""
         self.directory.stop()
         self._guard.stop()
         self._jobs.close()
         self._cached.close()
 
     def reload(self) -> None:
-        """Settings name only addresses and bounds of this start: nothing is taken over."""
+        """Logs the request; all settings of this process are fixed at startup."""
         self._log.emit(LogEvent.SETTINGS_RELOADED, {})
 
     async def _drain(self) -> None:
-        """Not ready at once; finishes what comes until callers are sent elsewhere."""
+        """Reports not ready, serves until callers are redirected, then completes open requests."""
         self.front.draining = True
-        began_at = steady_time()
+        drain_started_at = steady_time()
         self._log.emit(LogEvent.DRAIN_STARTED, {"open": self.front.open_requests})
-        give_up_at = began_at + self._settings.bounds.stop_grace_s - DRAIN_MARGIN_S
+        deadline = drain_started_at + self._settings.bounds.stop_grace_s - DRAIN_MARGIN_S
         await asyncio.sleep(DRAIN_NOTICE_S)
-        # From here on nothing is passed on, so a request that crosses the close is not lost.
+        # No request is forwarded from here on, so one that races with the close has not run.
         self.front.closing = True
-        while self.front.open_requests and steady_time() < give_up_at:
+        while self.front.open_requests and steady_time() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
         self._log.emit(LogEvent.DRAIN_FINISHED, {"open": self.front.open_requests})
 
-    def _forget_sampler(self, sampler_id: str) -> None:
+    def _remove_sampler(self, sampler_id: str) -> None:
         self._forwarder.forget(sampler_id)
         self._relay.forget(sampler_id)
 
     # Ledger nodes.
 
     def _look_up_ledger_nodes(self) -> None:
-        """Asks the store where ledger nodes are, at most once a while."""
+        """Reads the addresses of ledger nodes from the object store, with a rate limit."""
         now = steady_time()
-        if now < self._looked_up_at + RELOOKUP_PAUSE_S:
+        if now < self._last_lookup_at + LOOKUP_INTERVAL_S:
             return
-        self._looked_up_at = now
+        self._last_lookup_at = now
         self._tasks.spawn(self._read_ledger_nodes())
 
     async def _read_ledger_nodes(self) -> None:
@@ -207,7 +207,7 @@
 
 
 async def serve_gateway(settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
-    """Runs a gateway until it is told to stop."""
+    """Runs a gateway until it is stopped by a signal."""
     gateway = Gateway(settings, store, dialect)
     handle_signals(gateway)
     await gateway.run()
--- a/stileloom/daemon/metrics_server.py
+++ b/stileloom/daemon/metrics_server.py
@@ -1,4 +1,4 @@
-"""`GET /metrics`: counters and histograms as Prometheus text."""
+"""Serves metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 def start_metrics_server(
     registry: CollectorRegistry, host: str, port: int, log: EventLog
 ) -> HTTPServer | None:
-    """Answers any request at the address with all metrics.
+    """Starts a server that answers any request with all metrics.
 
-    A port that is taken costs the metrics, not the process: None, and a log line.
+    If the port is unavailable, logs the error and returns None, so that the process still starts.
     """
 
     def answer(request: HTTPServerRequest) -> None:
@@ -31,7 +31,7 @@
     try:
         server.listen(port, address=host)
     except OSError as error:
-        fields: dict[str, object] = {"error": f"no metrics at port {port}: {error}"}
+        fields: dict[str, object] = {"error": f"cannot serve metrics on port {port}: {error}"}
         log.emit(LogEvent.INTERNAL_FAULT, fields)
         return None
     return server
--- a/stileloom/daemon/platform_client.py
+++ b/stileloom/daemon/platform_client.py
@@ -1,4 +1,4 @@
-"""Speaks to the platform: the object API (versions, watches, compare-and-swap), machine list."""
+"""Clients of the platform's object API and machine list."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 WATCH_WAIT_S = 1.0
 REQUEST_TIMEOUT_S = 3.0
-READ_BACK_TRIES = 3
-READ_BACK_PAUSE_S = 0.2
+READ_BACK_ATTEMPTS = 3
+READ_BACK_INTERVAL_S = 0.2
 
 
 class StoredObject(msgspec.Struct, frozen=True):
@@ -27,7 +27,7 @@
 
 
 class ObjectList(msgspec.Struct, frozen=True):
-    """All objects at a revision."""
+    """All objects at one revision."""
 
     revision: int
     objects: list[StoredObject]
@@ -41,7 +41,7 @@
         self._http = AsyncHTTPClient(force_instance=True, max_clients=64)
 
     async def watch(self, after_revision: int) -> Configuration | None:
-        """The configuration once it is above a revision; None where nothing came in time.
+        """Waits for a configuration newer than a revision; returns None on timeout.
 
         Raises `StileloomError` (PLATFORM_UNAVAILABLE).
         """
@@ -49,7 +49,7 @@
         return configuration_of(listed) if listed is not None else None
 
     async def watch_all(self, after_revision: int, wait_s: float) -> ObjectList | None:
-        """Every object once the revision is above one; None where nothing came in time.
+        """Waits for a revision newer than `after_revision` and lists all objects; None on timeout.
 
         Raises `StileloomError` (PLATFORM_UNAVAILABLE).
         """
@@ -60,7 +60,7 @@
         return msgspec.json.decode(response.body, type=ObjectList)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """One object, or None. Raises `StileloomError` (PLATFORM_UNAVAILABLE)."""
+        """Returns one object or None. Raises `StileloomError` (PLATFORM_UNAVAILABLE)."""
         try:
             response = await self._fetch("GET", f"/objects/{kind}/{name}")
         except StileloomError as error:
@@ -70,18 +70,19 @@
         return msgspec.json.decode(response.body, type=StoredObject)
 
     async def list(self) -> ObjectList:
-        """Every object. Raises `StileloomError` (PLATFORM_UNAVAILABLE)."""
+        """Lists all objects. Raises `StileloomError` (PLATFORM_UNAVAILABLE)."""
         response = await self._fetch("GET", "/objects")
         return msgspec.json.decode(response.body, type=ObjectList)
 
     async def write(
         self, kind: str, name: str, expected: int | None, change_id: str, spec: object | None
     ) -> int:
-        """Compare-and-swap of one object; `spec` None deletes. Returns the revision.
+        """Writes one object by compare-and-swap and returns its revision; `spec` None deletes.
 
-        `expected` is the revision that the object must have, 0 for "must not exist" and None
-        for "whatever it is". A lost answer is settled by reading back the change id. Raises
-        `StileloomError`: CONFLICT, or PLATFORM_UNAVAILABLE with outcome unknown.
+        `expected` is the revision that the object must have, 0 if it must not exist, or None for
+        an unconditional write. If the response is lost, the outcome is determined by reading
+        back the change id. Raises `StileloomError`: CONFLICT, or PLATFORM_UNAVAILABLE with
+        outcome unknown.
         """
         headers = {"X-Change-Id": change_id}
         if expected is not None:
@@ -97,8 +98,8 @@
         return int(response.headers["X-Revision"])
 
     async def _read_back(self, kind: str, name: str, change_id: str, error: StileloomError) -> int:
-        for _ in range(READ_BACK_TRIES):
-            await asyncio.sleep(READ_BACK_PAUSE_S)
+        for _ in range(READ_BACK_ATTEMPTS):
+            await asyncio.sleep(READ_BACK_INTERVAL_S)
             try:
                 stored = await self.get(kind, name)
             except StileloomError:
@@ -144,7 +145,7 @@
         self._http = AsyncHTTPClient(force_instance=True)
 
     async def read(self) -> list[Machine] | None:
-        """The list, or None where it did not answer."""
+        """Returns the machines, or None if the request failed."""
         try:
             response = await self._http.fetch(
                 HTTPRequest(self._url, request_timeout=REQUEST_TIMEOUT_S)
@@ -159,7 +160,7 @@
 
 
 def configuration_of(listed: ObjectList) -> Configuration:
-    """The typed objects of a list; objects of other kinds are not configuration."""
+    """Returns the typed configuration in a list; skips objects of other kinds."""
     kinds = {kind.value: kind for kind in ObjectKind}
     configuration = Configuration(listed.revision)
     for stored in listed.objects:
@@ -169,7 +170,7 @@
         try:
             spec = parse_spec(kind, stored.spec)
         except StileloomError:
-            # Written past this product's checks; one bad object must not hide the others.
+            # Written without validation; one invalid object must not hide the others.
             continue
         configuration = configuration.with_object(kind, stored.name, spec)
     return configuration
--- a/stileloom/daemon/process.py
+++ b/stileloom/daemon/process.py
@@ -1,4 +1,4 @@
-"""The life of the daemon's process: start, signals, drain, exit."""
+"""The node process: startup, signals, drain and shutdown."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from stileloom.settings_file import split_address
 
 VOTER_SET_KIND = "voterset"
-LEADERSHIP_SETTLE_S = 0.3
-"""How long a drained node keeps answering, so that others notice it is leaving."""
+DEPARTURE_DELAY_S = 0.3
+"""How long a draining node stays up so that other members learn of its departure."""
 
 
 async def serve(settings: NodeSettings) -> None:
-    """Runs a node until it is told to stop; returns after its drain."""
+    """Runs a node until it is stopped by a signal or drain request; returns after the drain."""
     rng = random.Random()
     log = EventLog(settings.node_id)
     object_api = ObjectApi(settings.platform.object_api)
@@ -48,7 +48,9 @@
     replica = None
     if identity is not None and recovered is not None:
         replica = LedgerReplica(identity, recovered, rng, now, settings.ledger.voters)
-    core = NodeCore(_member(settings), _seeds(settings), rng, now, replica, settings.scheduler)
+    core = NodeCore(
+        _local_member(settings), _remote_seeds(settings), rng, now, replica, settings.scheduler
+    )
     machine_list = MachineList(settings.platform.machine_list)
     shell = Shell(core, log, object_api, machine_list, storage)
     await shell.start(settings.host, settings.port)
@@ -64,7 +66,7 @@
     log.emit(LogEvent.NODE_STOPPED, {})
 
 
-def _member(settings: NodeSettings) -> Member:
+def _local_member(settings: NodeSettings) -> Member:
     return Member(
         node_id=settings.node_id,
         zone=settings.zone,
@@ -72,13 +74,13 @@
         host=settings.host,
         port=settings.port,
         http_port=settings.http_port,
-        # Above that of any earlier process under this id; refuted upwards where it is not.
+        # Higher than in earlier processes with this id; membership raises it if it is not.
         incarnation=time.time_ns() // 1_000_000,
         voter=bool(settings.ledger.data_folder),
     )
 
 
-def _seeds(settings: NodeSettings) -> list[Seed]:
+def _remote_seeds(settings: NodeSettings) -> list[Seed]:
     own = f"{settings.host}:{settings.port}"
     return [Seed(*split_address(seed)) for seed in settings.seeds if seed != own]
 
@@ -86,7 +88,7 @@
 async def _recover(
     settings: NodeSettings, storage: LedgerStorage, object_api: ObjectApi, log: EventLog
 ) -> tuple[Voter, RecoveredLedger]:
-    """The ledger of this disk; at the first start the voter set is agreed on first."""
+    """Recovers the ledger of this disk, or agrees on the voter set at the first start."""
     identity = storage.read_identity()
     recovered = storage.recover()
     if identity is not None and recovered is not None:
@@ -113,11 +115,11 @@
 
 
 async def _drain(shell: Shell, log: EventLog, timeout_s: float) -> None:
-    """Admits nothing more, finishes what is in flight, then goes."""
+    """Rejects new requests and waits for those in flight to complete."""
     shell.run(shell.core.drain(shell.now()))
-    give_up_at = shell.now() + timeout_s
-    await asyncio.sleep(LEADERSHIP_SETTLE_S)
-    while not shell.core.idle and shell.now() < give_up_at:
+    deadline = shell.now() + timeout_s
+    await asyncio.sleep(DEPARTURE_DELAY_S)
+    while not shell.core.idle and shell.now() < deadline:
         await asyncio.sleep(0.05)
     log.emit(LogEvent.DRAIN_FINISHED, {"idle": shell.core.idle})
-    await asyncio.sleep(LEADERSHIP_SETTLE_S)
+    await asyncio.sleep(DEPARTURE_DELAY_S)
--- a/stileloom/daemon/process_metrics.py
+++ b/stileloom/daemon/process_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics that gateways and ledger nodes share: the store, what is in force, logs."""
+"""Metrics shared by gateways and ledger nodes: object store, active routes and logs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProcessMetrics:
-    """Counters of one process."""
+    """Metrics of one process."""
 
     def __init__(self, registry: CollectorRegistry, log: EventLog) -> None:
         self.store_calls = Counter(
@@ -43,11 +43,11 @@
         suppressed.set_function(lambda: float(log.budget.suppressed_total))
 
     def observe_routes(self, version: Callable[[], int]) -> None:
-        """Where the version in force is read."""
+        """Registers the source of the active routes version."""
         self._routes.set_function(version)
 
     def observe_age(self, kind: str, synced_at: Callable[[], float | None]) -> None:
-        """Where the time of the last answer about a kind is read."""
+        """Registers the source of the time of the last response for a kind."""
 
         def age_s() -> float:
             at = synced_at()
--- a/stileloom/daemon/readiness.py
+++ b/stileloom/daemon/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness answer of a gateway."""
+"""The readiness endpoint of a gateway."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def make_ready_server(is_ready: Callable[[], bool]) -> HTTPServer:
-    """Answers any request: 200 when ready, 503 else."""
+    """Creates a server that answers any request with 200 when ready and 503 otherwise."""
 
     def answer(request: HTTPServerRequest) -> None:
         ready = is_ready()
--- a/stileloom/daemon/shell.py
+++ b/stileloom/daemon/shell.py
@@ -1,4 +1,4 @@
-"""The daemon's shell: drives a node core over tornado, a monotonic clock and a disk."""
+"""Runs a node core on the tornado event loop with a monotonic clock, network and disk."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Shell:
-    """Carries out the effects of one node core."""
+    """Executes the effects of a node core."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str, port: int) -> None:
-        """Listens and starts the timers. Raises `OSError` where the port is taken."""
+        """Starts listening and the timers. Raises `OSError` if the port is in use."""
         await self.network.start(host, port)
         self._ticker.start()
 
@@ -80,15 +80,15 @@
             self._storage.close()
 
     def now(self) -> float:
-        """Monotonic seconds; they count on while the process is stopped."""
+        """Returns monotonic seconds, which include time while the machine is suspended."""
         return steady_time()
 
     def run(self, effects: list[Effect]) -> None:
-        """Carries out effects in order; after `stop` there is nothing left to act with."""
+        """Executes effects in order; does nothing after `stop`."""
         if self._stopped:
             return
         for effect in effects:
-            self._carry_out(effect)
+            self._execute(effect)
 
     def _tick(self) -> None:
         self.run(self.core.tick(self.now(), time.time()))
@@ -96,7 +96,7 @@
     def _received(self, sender: str, message: object) -> None:
         self.run(self.core.receive(self.now(), sender, message))
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, Send):
             member = self.core.membership.get(effect.to)
             if member is not None:
@@ -107,7 +107,7 @@
             self._log.emit(effect.event, effect.fields)
         elif isinstance(effect, Persist):
             self._writes.append(effect)
-            self._start_writing()
+            self._start_write()
         elif isinstance(effect, OpenStream):
             self._spawn(self._stream(effect))
         elif isinstance(effect, CloseStream):
@@ -132,23 +132,25 @@
 
     # Disk.
 
-    def _start_writing(self) -> None:
-        """Everything that piled up during one sync goes into the next."""
+    def _start_write(self) -> None:
+        """Writes the effects that were queued during the previous sync as one batch."""
         if self._writing or not self._writes or self._storage is None:
             return
         self._writing = True
         batch, self._writes = self._writes, []
         future = IOLoop.current().run_in_executor(self._disk, self._storage.write, batch)
-        IOLoop.current().add_future(future, lambda done: self._written(done, batch[-1].write_id))
+        IOLoop.current().add_future(
+            future, lambda done: self._write_finished(done, batch[-1].write_id)
+        )
 
-    def _written(self, done: asyncio.Future[None], write_id: int) -> None:
-        # A disk that fails must stop the node: nothing may be said about what it holds.
+    def _write_finished(self, done: asyncio.Future[None], write_id: int) -> None:
+        # A disk failure stops the node, because writes can no longer be acknowledged.
         done.result()
         self._writing = False
         if self._stopped:
             return
         self.run(self.core.persisted(self.now(), write_id))
-        self._start_writing()
+        self._start_write()
 
     # Engines.
 
@@ -160,7 +162,11 @@
         request_id = effect.request.request_id
         address = self._address_of(effect.sampler_id)
         if address is None:
-            self.run(self.core.stream_failed(self.now(), request_id, True, "the sampler is gone"))
+            self.run(
+                self.core.stream_failed(
+                    self.now(), request_id, True, "the sampler is no longer listed"
+                )
+            )
             return
 
         def on_frame(frame: StreamChunk | StreamEnd) -> None:
@@ -206,13 +212,13 @@
         configuration = None
         try:
             configuration = await self.object_api.watch(effect.after_revision)
-            self._note_platform(True)
+            self._set_platform_up(True)
         except (StileloomError, msgspec.DecodeError) as error:
-            self._note_platform(False, str(error))
+            self._set_platform_up(False, str(error))
             await asyncio.sleep(PLATFORM_RETRY_S)
         self.run(self.core.configuration_fetched(self.now(), configuration))
 
-    def _note_platform(self, up: bool, detail: str = "") -> None:
+    def _set_platform_up(self, up: bool, detail: str = "") -> None:
         if up == self._platform_up:
             return
         self._platform_up = up
@@ -223,7 +229,7 @@
         machines = await self._machine_list.read()
         self.run(self.core.machines_fetched(self.now(), machines))
 
-    # Calls of the HTTP side.
+    # HTTP API.
 
     async def command(self, command: Command, timeout_s: float = COMMAND_WAIT_S) -> CommandResult:
         """Submits a command to the ledger and waits for its result.
@@ -241,5 +247,5 @@
         finally:
             self.waiters.forget_command(ticket)
         if finished is None or finished.result is None:
-            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "no answer from the ledger")
+            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "the ledger did not respond in time")
         return finished.result
--- a/stileloom/daemon/signals.py
+++ b/stileloom/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Signals of a serving process."""
+"""Signal handlers of server processes."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class Stoppable(Protocol):
-    """A program that can be told to stop or to reload."""
+    """A process that can be stopped and reloaded."""
 
     def stop(self) -> None:
-        """Begin the drain."""
+        """Starts a graceful shutdown."""
 
     def reload(self) -> None:
-        """The settings file may have changed."""
+        """Handles a possible change of the settings file."""
 
 
-def handle_signals(program: Stoppable) -> None:
-    """SIGTERM and SIGINT stop, SIGHUP reloads."""
+def handle_signals(process: Stoppable) -> None:
+    """Stops the process on SIGTERM and SIGINT, and reloads it on SIGHUP."""
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, program.stop)
-    loop.add_signal_handler(signal.SIGHUP, program.reload)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, process.stop)
+    loop.add_signal_handler(signal.SIGHUP, process.reload)
--- a/stileloom/daemon/waiters.py
+++ b/stileloom/daemon/waiters.py
@@ -1,4 +1,4 @@
-"""Futures of the HTTP side that wait for effects of the node core."""
+"""Delivers effects of the node core to the HTTP handlers that wait for them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class LookupWaiter:
-    """Takes the tokens and the answer of one lookup."""
+    """Receives the tokens and the answer of one lookup."""
 
     def __init__(self) -> None:
         self.events: asyncio.Queue[TokensReady | LookupAnswer] = asyncio.Queue()
 
 
 class Waiters:
-    """Who waits for what."""
+    """Pending lookups, commands, delivery reads and status requests."""
 
     def __init__(self) -> None:
         self._lookups: dict[str, LookupWaiter] = {}
@@ -30,11 +30,11 @@
         self._tickets = itertools.count(1)
 
     def next_ticket(self) -> int:
-        """A number not used before in this process."""
+        """Returns a ticket that is unique in this process."""
         return next(self._tickets)
 
     def resolve(self, effect: Effect) -> None:
-        """Hands an effect to whoever waits for it; nobody may."""
+        """Delivers an effect to its waiter, if there is one."""
         if isinstance(effect, AnswerReady):
             waiter = self._lookups.pop(effect.answer.request_id, None)
             if waiter is not None:
@@ -44,41 +44,41 @@
             if waiter is not None:
                 waiter.events.put_nowait(effect)
         elif isinstance(effect, CommandFinished):
-            _set(self._commands.pop(effect.ticket, None), effect)
+            _set_result(self._commands.pop(effect.ticket, None), effect)
         elif isinstance(effect, DeliveryFinished):
-            _set(self._deliveries.pop(effect.answer.ticket, None), effect.answer)
+            _set_result(self._deliveries.pop(effect.answer.ticket, None), effect.answer)
         elif isinstance(effect, StatusFinished):
-            _set(self._statuses.pop(effect.status.ticket, None), effect.status)
+            _set_result(self._statuses.pop(effect.status.ticket, None), effect.status)
 
     def expect_lookup(self, request_id: str) -> LookupWaiter:
-        """Waits for a lookup's tokens and answer."""
+        """Registers a waiter for the tokens and answer of a lookup."""
         waiter = LookupWaiter()
         self._lookups[request_id] = waiter
         return waiter
 
     def expect_command(self, ticket: int) -> asyncio.Future[CommandFinished]:
-        """Waits for a command's answer."""
+        """Registers a waiter for the result of a command."""
         future: asyncio.Future[CommandFinished] = asyncio.get_running_loop().create_future()
         self._commands[ticket] = future
         return future
 
     def forget_command(self, ticket: int) -> None:
-        """Nobody waits for the command any more."""
+        """Removes the waiter of a command."""
         self._commands.pop(ticket, None)
 
     def expect_delivery(self, ticket: int) -> asyncio.Future[DeliveryAnswer]:
-        """Waits for an answer to a read of deliveries."""
+        """Registers a waiter for a delivery read."""
         future: asyncio.Future[DeliveryAnswer] = asyncio.get_running_loop().create_future()
         self._deliveries[ticket] = future
         return future
 
     def expect_status(self, ticket: int) -> asyncio.Future[LeaderStatus]:
-        """Waits for the leader's status."""
+        """Registers a waiter for the leader's status."""
         future: asyncio.Future[LeaderStatus] = asyncio.get_running_loop().create_future()
         self._statuses[ticket] = future
         return future
 
 
-def _set(future: asyncio.Future | None, value: object) -> None:
+def _set_result(future: asyncio.Future | None, value: object) -> None:
     if future is not None and not future.done():
         future.set_result(value)
