--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -1,6 +1,6 @@
-"""Gateways, ledger nodes and samplers in one event loop, over real sockets, for tests.
+"""Test cluster of gateways, ledger nodes and samplers in one event loop, over real sockets.
 
-Ports are chosen by the kernel. Nothing is timed: tests wait for what must come about.
+Ports are chosen by the kernel. Tests wait for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def configuration(version: int, **changes: Any) -> dict[str, Any]:
-    """Two routes over two services."""
+    """Returns a configuration of two routes over two services."""
     lookup = {
         "name": "charts",
         "host": HOSTNAME,
@@ -68,29 +68,29 @@
 
 
 def reward_of(item: str) -> list[str]:
-    """The reward call of an item, by the route of lookups."""
+    """Returns the reward call of an item, over the lookup route."""
     return [f"score-{item}", HOSTNAME, f"/charts/score/{item}", "dGV4dA=="]
 
 
 class ServiceCluster:
-    """Three ledger nodes, some gateways and samplers, and the object API."""
+    """Three ledger nodes, gateways, samplers and the object API."""
 
     def __init__(self, gateways: int = 2) -> None:
         self.samplers: dict[str, HttpSampler] = {}
         self.ledger_nodes: dict[str, LedgerNode] = {}
         self.gateways: list[Gateway] = []
-        self.fronts: list[int] = []
+        self.front_ports: list[int] = []
         self._gateway_count = gateways
         self._folder = tempfile.TemporaryDirectory()
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._http = AsyncHTTPClient(force_instance=True, max_clients=100)
         self._settings: dict[str, ServiceSettings] = {}
-        self._open = contextlib.ExitStack()
+        self._exit_stack = contextlib.ExitStack()
         self.api: ObjectApi
 
     async def __aenter__(self) -> ServiceCluster:
-        """Starts everything and waits until a job could be taken."""
-        self._api_address = self._open.enter_context(object_api())
+        """Starts all components and waits until jobs can be accepted."""
+        self._api_address = self._exit_stack.enter_context(object_api())
         self.api = ObjectApi(self._api_address)
         await self.write("configuration", "main", configuration(1))
         for number in (1, 2):
@@ -110,7 +110,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Ends everything."""
+        """Stops all components."""
         for task in self._tasks.values():
             task.cancel()
         for gateway in self.gateways:
@@ -119,53 +119,53 @@
             node.abort()
         for sampler in self.samplers.values():
             await sampler.stop()
-        self._open.close()
+        self._exit_stack.close()
         self._folder.cleanup()
-        await self._expect_all_ended()
+        await self._check_all_tasks_ended()
 
-    async def _expect_all_ended(self) -> None:
-        """A task that outlives its cancellation would keep its program's event loop from ending."""
+    async def _check_all_tasks_ended(self) -> None:
+        """Checks that no task ignores its cancellation, which would block process shutdown."""
         others = asyncio.all_tasks() - {asyncio.current_task()}
         for task in others:
             task.cancel()
         if others:
-            _, left = await asyncio.wait(others, timeout=GIVE_UP_S)
-            assert not left, f"still there after they were cancelled: {left}"
+            _, remaining = await asyncio.wait(others, timeout=GIVE_UP_S)
+            assert not remaining, f"tasks still running after cancellation: {remaining}"
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Waits until a condition holds."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits until a condition is true. Raises `TimeoutError`."""
         async with asyncio.timeout(GIVE_UP_S):
-            while not holds():
-                self._raise_faults()
+            while not condition():
+                self._raise_task_errors()
                 await asyncio.sleep(0.01)
 
-    def _raise_faults(self) -> None:
-        """A program that ended by its own fault is the cause of whatever does not come about."""
+    def _raise_task_errors(self) -> None:
+        """Raises the error of a process task that failed, as the likely cause of a timeout."""
         for task in self._tasks.values():
             if task.done() and not task.cancelled() and task.exception() is not None:
                 task.result()
 
     async def write(self, kind: str, name: str, spec: dict[str, Any]) -> None:
-        """Writes an object as an operator or trainer does."""
+        """Writes an object without a revision check, as an operator or trainer does."""
         await self.api.write(kind, name, None, f"{kind}/{name}", spec)
 
     async def unlist(self, name: str) -> None:
-        """A sampler that is gone loses its entry, and every gateway learns it."""
+        """Removes a sampler's entry and waits until every gateway has applied the removal."""
         await self.api.write("samplers", name, None, f"unlist/{name}", None)
         for gateway in self.gateways:
             await self.until(lambda: gateway.directory.samplers.get(name) is None)  # noqa: B023
 
     async def until_listed(self, name: str) -> None:
-        """Every gateway knows the sampler."""
+        """Waits until every gateway has listed the sampler."""
         for gateway in self.gateways:
             await self.until(lambda: gateway.directory.samplers.get(name) is not None)  # noqa: B023
 
     async def add_sampler(self, name: str, service: str) -> HttpSampler:
-        """Starts a sampler and lists it."""
+        """Starts a sampler and registers it in the object store."""
         versions = {MODEL: 1} if service == "drafts" else {}
         sampler = HttpSampler(name, versions)
-        # Held: after this sampler has ended, its port must not go to a sampler of the same id in
-        # another run of the tests, to which lookups of this one would go.
+        # The port stays reserved after the sampler has stopped, so that a concurrent test run
+        # cannot start a sampler with the same id on it and receive requests of this run.
         port = sampler.listen(HOST, free_port())
         self.samplers[name] = sampler
         spec = {
@@ -179,21 +179,21 @@
         return sampler
 
     async def put_proxy_before(self, name: str) -> TcpProxy:
-        """Lists a sampler at the address of a proxy of its own; every node learns it."""
+        """Puts a TCP proxy before a sampler and waits until every node uses its address."""
         stored = await self.api.get("samplers", name)
         assert stored is not None
         host, _, port = str(stored.spec["address"]).rpartition(":")
         proxy = TcpProxy(Link(), (host, int(port)))
         address = f"{HOST}:{await proxy.start(HOST)}"
         await self.write("samplers", name, {**stored.spec, "address": address})
-        reached_at = split_address(address)
+        proxy_address = split_address(address)
         for node in (*self.gateways, *self.ledger_nodes.values()):
             directory = node.directory if isinstance(node, Gateway) else node._directory
-            await self.until(lambda: _address_of(directory, name) == reached_at)  # noqa: B023
+            await self.until(lambda: _address_of(directory, name) == proxy_address)  # noqa: B023
         return proxy
 
     def start_ledger_node(self, name: str, host: str, first_start: bool = True) -> None:
-        """Starts a ledger node on its folder."""
+        """Starts a ledger node on its data folder."""
         peers = [f"{host}:{self._ledger_port}" for host in LEDGER_HOSTS]
         settings = ServiceSettings(
             node_id=name,
@@ -213,31 +213,31 @@
         self._tasks[name] = asyncio.get_running_loop().create_task(node.run())
 
     def wipe(self, name: str) -> None:
-        """Removes the files of a node that does not run."""
+        """Removes the data files of a stopped node."""
         folder = Path(self._folder.name) / name
         for file in folder.iterdir():
             file.unlink()
 
     def restart(self, name: str) -> None:
-        """Starts a ledger node that was killed, not for the first time."""
+        """Starts a killed ledger node again."""
         settings = self._settings[name]
         self.start_ledger_node(name, settings.host, first_start=False)
 
     async def kill(self, name: str) -> None:
-        """Ends a ledger node without any goodbye."""
+        """Stops a ledger node without a graceful shutdown."""
         node = self.ledger_nodes.pop(name)
         self._tasks.pop(name).cancel()
         node.abort()
 
     def leader(self) -> str | None:
-        """The node that may act as leader."""
+        """Returns the name of the leader, or None."""
         for name, node in self.ledger_nodes.items():
             if node.leads():
                 return name
         return None
 
     def start_gateway(self, name: str) -> Gateway:
-        """Starts a gateway, the last one of `gateways`."""
+        """Starts a gateway and appends it to `gateways`."""
         front = free_port()
         settings = ServiceSettings(
             node_id=name,
@@ -252,7 +252,7 @@
         )
         gateway = Gateway(settings, NativeObjectStore(self.api), NativeDialect())
         self.gateways.append(gateway)
-        self.fronts.append(front)
+        self.front_ports.append(front)
         self._tasks[name] = asyncio.get_running_loop().create_task(gateway.run())
         return gateway
 
@@ -266,7 +266,7 @@
         gateway: int = 0,
         **headers: str,
     ) -> HTTPResponse:
-        """One call at a gateway."""
+        """Sends a request to a gateway."""
         names = NativeDialect.names
         all_headers = {"Host": HOSTNAME}
         if "request_id" in headers:
@@ -278,7 +278,7 @@
         if "deadline_ms" in headers:
             all_headers[names.deadline_ms] = headers["deadline_ms"]
         request = HTTPRequest(
-            f"http://{HOST}:{self.fronts[gateway]}{target}",
+            f"http://{HOST}:{self.front_ports[gateway]}{target}",
             method=method,
             headers=all_headers,
             body=body,
@@ -290,7 +290,7 @@
     async def submit(
         self, job_id: str, items: list[str], rewards: bool = False, **fields: Any
     ) -> HTTPResponse:
-        """Submits a job, with a reward call for each item or without."""
+        """Submits a job, optionally with a reward call for each item."""
         rows: list[list[Any]] = [
             [item, f"/drafts/{item}", {"model": MODEL}, "Ym9keQ==", "g"] for item in items
         ]
@@ -301,7 +301,7 @@
         return await self.call("POST", "/drafts/j", msgspec.json.encode(body), request_id=job_id)
 
     async def results(self, job_id: str, count: int, gateway: int = 0) -> list[list[Any]]:
-        """Reads results until there are so many."""
+        """Reads results until there are at least `count`."""
         results: list[list[Any]] = []
         async with asyncio.timeout(GIVE_UP_S):
             while len(results) < count:
@@ -313,12 +313,12 @@
 
 
 def _address_of(directory: Directory, name: str) -> tuple[str, int] | None:
-    belief = directory.samplers.get(name)
-    return belief.entry.address if belief is not None else None
+    tracked = directory.samplers.get(name)
+    return tracked.entry.address if tracked is not None else None
 
 
 def with_cluster(scenario: Callable[[ServiceCluster], Awaitable[None]]) -> None:
-    """Runs a scenario on a fresh cluster."""
+    """Runs a scenario on a new cluster."""
 
     async def run() -> None:
         async with ServiceCluster() as cluster:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets in one process: lookups, batch jobs, loads, lost nodes."""
+"""End-to-end tests over real sockets in one process: lookups, streams, jobs, lost nodes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,9 @@
 
         with_cluster(scenario)
 
-    def test_a_refusing_sampler_is_passed_over_and_all_refusing_say_when_to_come_back(self) -> None:
+    def test_a_rejecting_sampler_is_skipped_and_if_all_reject_the_answer_has_retry_after(
+        self,
+    ) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             cluster.samplers["chart-1"].faults.refuse = True
             for number in range(4):
@@ -52,31 +54,31 @@
 
         with_cluster(scenario)
 
-    def test_a_lookup_without_an_answer_names_the_samplers_that_were_asked(self) -> None:
-        """Nothing ended there, so no other line of the log would name them."""
+    def test_a_lookup_that_times_out_logs_the_samplers_it_tried(self) -> None:
+        """No other log line would name unresponsive samplers."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("chart-1", "chart-2"):
                 cluster.samplers[name].faults.silent = True
-            told: list[str] = []
+            details: list[str] = []
             log = cluster.gateways[0].front._log
 
-            def note(event: LogEvent, fields: dict[str, object]) -> None:
+            def record(event: LogEvent, fields: dict[str, object]) -> None:
                 if event is LogEvent.REQUEST_REFUSED:
-                    told.append(str(fields["detail"]))
+                    details.append(str(fields["detail"]))
 
-            with mock.patch.object(log, "emit", note):
+            with mock.patch.object(log, "emit", record):
                 answer = await cluster.call(
                     "POST", "/charts/7", b"x", request_id="r1", deadline_ms="1500"
                 )
             self.assertEqual(504, answer.code)
-            (detail,) = told
+            (detail,) = details
             self.assertIn("chart-1", detail)
             self.assertIn("chart-2", detail)
 
         with_cluster(scenario)
 
-    def test_a_failing_lookup_keeps_to_its_attempts(self) -> None:
+    def test_a_failing_lookup_respects_the_attempt_limit(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("chart-1", "chart-2"):
                 cluster.samplers[name].faults.fail_status = 500
@@ -102,7 +104,7 @@
         with_cluster(scenario)
 
     def test_a_stopping_gateway_passes_nothing_on_before_it_closes(self) -> None:
-        """A request that crosses the close of its connection must not have run."""
+        """A request that races with the close of its connection must not have run."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             gateway = cluster.gateways[0]
@@ -126,7 +128,7 @@
 
         with_cluster(scenario)
 
-    def test_unknown_routes_and_bad_input_are_refused_clearly(self) -> None:
+    def test_unknown_routes_and_invalid_input_are_rejected(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             answer = await cluster.call("POST", "/nowhere/7", b"x", request_id="r1")
             self.assertEqual(404, answer.code)
@@ -150,7 +152,7 @@
     """Streaming routes."""
 
     async def stream(self, cluster: ServiceCluster, **changes: object) -> HTTPResponse | None:
-        """One streaming request over a route with these changes; None where it was cut."""
+        """Sends a streaming request over a changed route; returns None if the stream broke."""
         service = {"backends": [{"service": "drafts", "weight": 1}], "kind": "streaming"}
         await cluster.write("configuration", "main", configuration(2, **service, **changes))
         gateway = cluster.gateways[0]
@@ -161,8 +163,8 @@
         except HTTPStreamClosedError:
             return None
 
-    def whole(self) -> bytes:
-        """The events of the request, as one run makes them."""
+    def complete_body(self) -> bytes:
+        """Returns the complete event stream of the request."""
         events = expected_events("r1", EVENTS)
         return "".join(f"id: {n}\ndata: {data}\n\n" for n, data in enumerate(events, 1)).encode()
 
@@ -170,7 +172,7 @@
         async def scenario(cluster: ServiceCluster) -> None:
             answer = await self.stream(cluster)
             assert answer is not None
-            self.assertEqual((200, self.whole()), (answer.code, answer.body))
+            self.assertEqual((200, self.complete_body()), (answer.code, answer.body))
 
         with_cluster(scenario)
 
@@ -180,13 +182,13 @@
                 cluster.samplers[name].faults.cut_after_events = 2
             answer = await self.stream(cluster, resumable=True, max_attempts=9)
             assert answer is not None
-            self.assertEqual((200, self.whole()), (answer.code, answer.body))
+            self.assertEqual((200, self.complete_body()), (answer.code, answer.body))
             runs = [run for sampler in cluster.samplers.values() for run in sampler.runs]
             self.assertEqual([0, 2, 4], sorted(run.after_event or 0 for run in runs))
 
         with_cluster(scenario)
 
-    def test_a_broken_stream_never_looks_whole(self) -> None:
+    def test_a_broken_stream_is_never_reported_as_complete(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("draft-1", "draft-2"):
                 cluster.samplers[name].faults.cut_after_events = 2
@@ -201,12 +203,12 @@
     """Batch jobs through gateways, ledger and samplers."""
 
     def check_texts(self, results: list[list[object]]) -> None:
-        """Each text is the whole output of its item."""
+        """Checks that each text is the complete output of its item."""
         for item_id, state, text, _, score in results:
             self.assertEqual(("succeeded", ""), (state, score))
             self.assertEqual("\n".join(expected_events(str(item_id), EVENTS)), text)
 
-    def test_a_job_runs_and_is_read_alike_everywhere(self) -> None:
+    def test_all_gateways_return_the_same_job_results(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             items = [f"i{number}" for number in range(12)]
             self.assertEqual(202, (await cluster.submit("job", items)).code)
@@ -223,7 +225,7 @@
 
         with_cluster(scenario)
 
-    def test_broken_streams_are_resumed_into_one_chain(self) -> None:
+    def test_broken_streams_are_resumed_into_one_text(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             cluster.samplers["draft-1"].faults.cut_after_events = 2
             items = [f"i{number}" for number in range(8)]
@@ -232,7 +234,7 @@
 
         with_cluster(scenario)
 
-    def test_an_item_that_always_fails_is_given_up_after_its_attempts(self) -> None:
+    def test_an_item_that_always_fails_ends_at_the_attempt_limit(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("draft-1", "draft-2"):
                 cluster.samplers[name].faults.fail_status = 500
@@ -247,16 +249,16 @@
     def test_a_run_that_was_stopped_before_it_began_does_not_run(
         self,
     ) -> None:
-        """Two streams of one item would write into one text."""
+        """Two streams of one item would write to the same text."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             runner = leader._leadership.runner
-            # No step of the leader takes the run for silent or starts the item by itself.
-            patience = mock.patch("stileloom.jobs.scheduler.SILENCE_S", 10 * GIVE_UP_S)
+            # Prevents the leader from timing out the run or starting the item itself.
+            run_timeout = mock.patch("stileloom.jobs.scheduler.SILENCE_S", 10 * GIVE_UP_S)
             starts = mock.patch.object(runner.scheduler, "plan_starts", return_value=[])
-            with patience, starts:
+            with run_timeout, starts:
                 await cluster.submit("job", ["i1"])
                 await cluster.until(lambda: len(runner.scheduler.items) == 1)
                 (item,) = runner.scheduler.items.values()
@@ -270,14 +272,14 @@
 
         with_cluster(scenario)
 
-    def test_an_item_that_failed_at_one_sampler_goes_to_another(self) -> None:
+    def test_an_item_that_failed_on_one_sampler_is_retried_on_another(self) -> None:
         """A sampler that fails some requests must not use up all attempts of an item."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             cluster.samplers["draft-1"].faults.fail_status = 500
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
-            # It fails fast, and looks like the faster one of the two.
+            # A sampler that fails fast appears to be the faster one.
             leader._leadership.runner.scheduler.pace("draft-1").interval_s = 1e-6
             items = [f"i{number}" for number in range(3)]
             await cluster.submit("job", items)
@@ -287,7 +289,7 @@
 
         with_cluster(scenario)
 
-    def test_a_version_that_work_needs_is_loaded_and_stated(self) -> None:
+    def test_a_required_version_is_loaded_and_reported(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.write("versions", MODEL, {"model": MODEL, "version": 3})
             await cluster.submit("job", ["i1", "i2"], min_version=3)
@@ -325,7 +327,7 @@
         with_cluster(scenario)
 
     def test_disks_that_refuse_writes_for_a_while_stop_nothing_for_good(self) -> None:
-        """Nothing is acknowledged meanwhile; after it everything goes on by itself."""
+        """Nothing is acknowledged while disks reject writes; afterwards the cluster recovers."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             real_write = LedgerStorage.write
@@ -364,7 +366,7 @@
             await cluster.kill("ledger-1")
             await cluster.until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 1))
-            # Of the two that are left one loses its disk: the other goes on alone.
+            # One of the two remaining nodes loses its disk; the other continues alone.
             await cluster.kill("ledger-2")
             cluster.wipe("ledger-2")
             cluster.restart("ledger-2")
