--- a/stileloom/daemon/directory.py
+++ b/stileloom/daemon/directory.py
@@ -37,9 +37,9 @@
     ) -> None:
         self.routes = RouteTable(rng)
         self.samplers = SamplerTable()
-        self.on_sampler: Callable[[SamplerEntry], None] = lambda entry: None
-        self.on_sampler_gone: Callable[[str], None] = lambda sampler_id: None
-        self.on_routes: Callable[[], None] = lambda: None
+        self.on_sampler_listed: Callable[[SamplerEntry], None] = lambda entry: None
+        self.on_sampler_unlisted: Callable[[str], None] = lambda sampler_id: None
+        self.on_routes_changed: Callable[[], None] = lambda: None
         self._dialect = dialect
         self._log = log
         self._tasks = BackgroundTasks(log)
@@ -117,19 +117,19 @@
             }
             self._log.emit(event, fields)
         if adopted:
-            self.on_routes()
+            self.on_routes_changed()
 
     def _samplers_listed(self, records: list[ObjectRecord]) -> None:
         entries = [entry for record in records if (entry := self._decode(record)) is not None]
         for sampler_id in self.samplers.replace_all(entries):
-            self._report_removed(sampler_id, "no longer listed, or restarted")
+            self._report_unlisted(sampler_id, "no longer listed, or restarted")
         for entry in entries:
-            self.on_sampler(entry)
+            self.on_sampler_listed(entry)
 
     def _sampler_changed(self, event: ObjectEvent) -> None:
         if event.gone:
             self.samplers.remove(event.record.name)
-            self._report_removed(event.record.name, "entry removed")
+            self._report_unlisted(event.record.name, "entry removed")
             return
         entry = self._decode(event.record)
         if entry is None:
@@ -137,16 +137,16 @@
             # created again when a valid entry returns.
             if self.samplers.get(event.record.name) is not None:
                 self.samplers.remove(event.record.name)
-                self._report_removed(event.record.name, "entry could not be decoded")
+                self._report_unlisted(event.record.name, "entry could not be decoded")
             return
         change = self.samplers.put(entry)
         if change is not SamplerChange.NONE:
-            self._report_removed(entry.sampler_id, change.value)
-        self.on_sampler(entry)
+            self._report_unlisted(entry.sampler_id, change.value)
+        self.on_sampler_listed(entry)
 
-    def _report_removed(self, sampler_id: str, reason: str) -> None:
+    def _report_unlisted(self, sampler_id: str, reason: str) -> None:
         self._log.emit(LogEvent.SAMPLER_UNLISTED, {"sampler": sampler_id, "sign": reason})
-        self.on_sampler_gone(sampler_id)
+        self.on_sampler_unlisted(sampler_id)
 
     def _decode(self, record: ObjectRecord) -> SamplerEntry | None:
         try:
--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -93,7 +93,7 @@
         )
         self._forwarder = Forwarder(access, switches.hedging)
         self._relay = StreamRelay(access)
-        self.directory.on_sampler_gone = self._remove_sampler
+        self.directory.on_sampler_unlisted = self._on_sampler_unlisted
         self.front = Front(
             dialect,
             self.directory.routes,
@@ -184,7 +184,7 @@
             await asyncio.sleep(DRAIN_POLL_S)
         self._log.emit(LogEvent.DRAIN_FINISHED, {"open": self.front.open_requests})
 
-    def _remove_sampler(self, sampler_id: str) -> None:
+    def _on_sampler_unlisted(self, sampler_id: str) -> None:
         self._forwarder.forget(sampler_id)
         self._relay.forget(sampler_id)
 
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -95,8 +95,8 @@
             self._guard,
         )
         self._forwarder = Forwarder(access, switches.hedging)
-        self._directory.on_sampler = self._on_sampler_listed
-        self._directory.on_sampler_gone = self._on_sampler_removed
+        self._directory.on_sampler_listed = self._on_sampler_listed
+        self._directory.on_sampler_unlisted = self._on_sampler_unlisted
         self._stopping = asyncio.Event()
         self._reported_voters: list[Voter] = []
         self._order_windows = OrderWindows()
@@ -290,7 +290,7 @@
         if self._leadership is not None:
             self._leadership.runner.sampler_seen(entry.sampler_id, entry.model_versions)
 
-    def _on_sampler_removed(self, sampler_id: str) -> None:
+    def _on_sampler_unlisted(self, sampler_id: str) -> None:
         self._forwarder.forget(sampler_id)
         if self._leadership is not None:
             self._leadership.runner.sampler_gone(sampler_id)
--- a/stileloom/daemon/object_watch.py
+++ b/stileloom/daemon/object_watch.py
@@ -1,4 +1,4 @@
-"""Keeps track of one kind of objects in the object store by a list followed by watches."""
+"""Tracks one kind of objects in the object store by a list followed by watches."""
 
 from __future__ import annotations
 
--- a/stileloom/daemon/shell.py
+++ b/stileloom/daemon/shell.py
@@ -144,7 +144,7 @@
         )
 
     def _write_finished(self, done: asyncio.Future[None], write_id: int) -> None:
-        # A disk failure stops the node, because writes can no longer be acknowledged.
+        # Raises if the write failed: no later write is acknowledged, because `_writing` stays set.
         done.result()
         self._writing = False
         if self._stopped:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -55,8 +55,7 @@
         "stileloom/transport/calls.py",
         "            async with asyncio.timeout(timeout_s):\n                return await future\n",
         "            return await asyncio.wait_for(future, timeout_s)\n",
-        f"{CANCELLATION}::CancelledWatchTest"
-        "::test_a_watcher_cancelled_with_a_reply_stops",
+        f"{CANCELLATION}::CancelledWatchTest::test_a_watcher_cancelled_with_a_reply_stops",
     ),
     Mutant(
         "the clock stands still while the machine is suspended",
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -33,14 +33,14 @@
 
     def test_an_overwritten_sampler_is_unused_until_its_entry_is_valid_again(self) -> None:
         directory = self.make_directory()
-        gone: list[str] = []
-        directory.on_sampler_gone = gone.append
+        unlisted: list[str] = []
+        directory.on_sampler_unlisted = unlisted.append
         directory._samplers_listed(
             [ObjectRecord("a", 1, VALID_SPEC), ObjectRecord("b", 1, VALID_SPEC)]
         )
         foreign = ObjectRecord("a", 2, {"address": 7})
         directory._sampler_changed(ObjectEvent(False, foreign))
-        self.assertEqual(["a"], gone)
+        self.assertEqual(["a"], unlisted)
         self.assertEqual(
             ["b"], [tracked.entry.sampler_id for tracked in directory.samplers.of_service("s")]
         )
