--- a/stileloom/transport/__init__.py
+++ b/stileloom/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets between the nodes."""
+"""Communication between nodes."""
 
 from stileloom.transport.network import Network, TrafficCount
 
--- a/stileloom/transport/cache_messages.py
+++ b/stileloom/transport/cache_messages.py
@@ -1,4 +1,4 @@
-"""Calls to a ledger node's cache of the store, and their answers."""
+"""Calls to a ledger node's cache of the object store, and their replies."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ReadObjectsCall(msgspec.Struct, frozen=True, tag=True):
-    """Objects of a kind as a node's cache of the store has them."""
+    """Lists or watches the cached objects of a kind."""
 
     kind: str
     after_revision: int | None
-    """None for all objects, else the changes after it."""
+    """None requests all objects, otherwise only changes after this revision."""
     wait_s: float
     """How long to wait for a change."""
 
@@ -24,17 +24,17 @@
 
 
 class ObjectsChanged(msgspec.Struct, frozen=True, tag=True):
-    """Changes after the revision that was asked for; none where the wait was over."""
+    """Changes after the requested revision; empty if none occurred within the wait."""
 
     batch: WatchBatch
 
 
 class ChangesForgotten(msgspec.Struct, frozen=True, tag=True):
-    """The cache does not hold all changes after the revision: list anew."""
+    """Some changes after the revision are no longer cached; the caller must list again."""
 
 
 class CacheBehind(msgspec.Struct, frozen=True, tag=True):
-    """The cache did not hear from the store lately: ask the store."""
+    """The cache is stale; the caller must query the object store."""
 
 
 CacheReply = ObjectsListed | ObjectsChanged | ChangesForgotten | CacheBehind
--- a/stileloom/transport/call_frames.py
+++ b/stileloom/transport/call_frames.py
@@ -1,4 +1,4 @@
-"""What goes over a connection for calls: numbered requests and replies."""
+"""Messages of the call protocol: requests and replies with a correlation number."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class CallFrame(msgspec.Struct, frozen=True, array_like=True):
-    """A call with the number that its answer will carry."""
+    """A request; its reply has the same number."""
 
     number: int
     request: Request
 
 
 class ReplyFrame(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a call."""
+    """The reply to the call with this number."""
 
     number: int
     reply: Reply
--- a/stileloom/transport/calls.py
+++ b/stileloom/transport/calls.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: numbered frames over one TCP connection, answered in any order."""
+"""RPC between nodes: multiplexes calls over one TCP connection; replies may arrive in any order."""
 
 from __future__ import annotations
 
@@ -24,19 +24,22 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Whole frames so far. Raises `ValueError` where a frame is too long or damaged."""
+        """Adds bytes and returns the bodies of all complete frames.
+
+        Raises `ValueError` if a frame is too long or cannot be decompressed.
+        """
         self._buffer += data
         frames: list[bytes] = []
         while len(self._buffer) >= FRAME_HEADER.size:
             (length,) = FRAME_HEADER.unpack_from(self._buffer)
             if length > MAX_FRAME_BYTES:
-                raise ValueError("frame too long")
+                raise ValueError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             end = FRAME_HEADER.size + length
             if len(self._buffer) < end:
                 break
@@ -47,20 +50,20 @@
 
 
 def encode_frame(message: object, compress: bool = True) -> bytes:
-    """A message behind its length."""
+    """Encodes a message as a length-prefixed frame."""
     body = pack(_ENCODER.encode(message), compress)
     return FRAME_HEADER.pack(len(body)) + body
 
 
 def set_socket_options(transport: asyncio.BaseTransport) -> None:
-    """No delay of small frames, and an early end where the peer is silent."""
-    connected = transport.get_extra_info("socket")
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    """Disables Nagle's algorithm and limits how long sent data may remain unacknowledged."""
+    tcp_socket = transport.get_extra_info("socket")
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 class CallServer:
-    """Serves calls; a handler answers each."""
+    """Accepts connections and passes each call to a handler."""
 
     def __init__(
         self, handler: Callable[[Request], Awaitable[Reply]], compress: bool = True
@@ -68,49 +71,51 @@
         self._handler = handler
         self._compress = compress
         self._server: asyncio.Server | None = None
-        self._accepted: set[_ServedConnection] = set()
+        self._open_connections: set[_ServedConnection] = set()
 
     async def start(self, host: str, port: int) -> None:
-        """Listens. Raises `OSError` where the port is taken."""
+        """Starts listening. Raises `OSError` if the port is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _ServedConnection(self._handler, self._accepted, self._compress), host, port
+            lambda: _ServedConnection(self._handler, self._open_connections, self._compress),
+            host,
+            port,
         )
 
     def stop(self) -> None:
-        """Stops listening and closes what was accepted."""
+        """Stops listening and closes all accepted connections."""
         if self._server is not None:
             self._server.close()
-        for connection in list(self._accepted):
+        for connection in list(self._open_connections):
             connection.close()
 
 
 class _ServedConnection(asyncio.Protocol):
-    """One caller."""
+    """Server side of a connection."""
 
     def __init__(
         self,
         handler: Callable[[Request], Awaitable[Reply]],
-        accepted: set[_ServedConnection],
+        open_connections: set[_ServedConnection],
         compress: bool,
     ) -> None:
         self._handler = handler
         self._compress = compress
-        self._accepted = accepted
+        self._open_connections = open_connections
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: a caller connected."""
+        """Implements `asyncio.Protocol`."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._accepted.add(self)
+        self._open_connections.add(self)
         set_socket_options(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the caller is gone."""
-        self._accepted.discard(self)
+        """Cancels the handlers of calls in progress."""
+        self._open_connections.discard(self)
         for task in self._tasks:
             task.cancel()
 
@@ -120,25 +125,25 @@
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes arrived."""
+        """Implements `asyncio.Protocol`."""
         try:
             frames = [_CALL_DECODER.decode(frame) for frame in self._reader.feed(data)]
         except (ValueError, msgspec.DecodeError):
             self.close()
             return
         for frame in frames:
-            task = asyncio.get_running_loop().create_task(self._answer(frame))
+            task = asyncio.get_running_loop().create_task(self._handle_call(frame))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, frame: CallFrame) -> None:
+    async def _handle_call(self, frame: CallFrame) -> None:
         reply = await self._handler(frame.request)
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(encode_frame(ReplyFrame(frame.number, reply), self._compress))
 
 
 class CallFailed(Exception):
-    """No answer; `sent` tells whether the call may have been carried out."""
+    """A call got no reply; if `sent` is set, it may have been executed."""
 
     def __init__(self, detail: str, sent: bool) -> None:
         super().__init__(detail)
@@ -146,12 +151,12 @@
 
 
 class CallConnection(asyncio.Protocol):
-    """A connection to one node; calls run side by side."""
+    """Client side of a connection to one node; supports concurrent calls."""
 
     def __init__(self) -> None:
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self._waiting: dict[int, asyncio.Future[Reply]] = {}
+        self._pending: dict[int, asyncio.Future[Reply]] = {}
         self._next_number = 1
 
     @classmethod
@@ -165,31 +170,31 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection stands."""
+        """Whether the connection is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: the connection stands."""
+        """Implements `asyncio.Protocol`."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_socket_options(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is gone, and what waits has no answer."""
-        for future in self._waiting.values():
+        """Fails all pending calls."""
+        for future in self._pending.values():
             if not future.done():
                 future.set_exception(CallFailed("connection lost", sent=True))
-        self._waiting.clear()
+        self._pending.clear()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes arrived."""
+        """Implements `asyncio.Protocol`."""
         try:
             frames = [_REPLY_DECODER.decode(frame) for frame in self._reader.feed(data)]
         except (ValueError, msgspec.DecodeError):
             self.close()
             return
         for frame in frames:
-            future = self._waiting.pop(frame.number, None)
+            future = self._pending.pop(frame.number, None)
             if future is not None and not future.done():
                 future.set_result(frame.reply)
 
@@ -199,36 +204,36 @@
             self._transport.abort()
 
     async def call(self, request: Request, timeout_s: float) -> Reply:
-        """Sends a call and waits. Raises `CallFailed`."""
+        """Sends a call and waits for its reply. Raises `CallFailed`."""
         if self._transport is None or not self.usable:
             raise CallFailed("not connected", sent=False)
         number = self._next_number
         self._next_number += 1
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+        self._pending[number] = future
         self._transport.write(encode_frame(CallFrame(number, request)))
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise CallFailed("no answer in time", sent=True) from error
+            raise CallFailed(f"no reply within {timeout_s:g} s", sent=True) from error
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
             if future.done():
                 with contextlib.suppress(asyncio.CancelledError, CallFailed):
                     future.exception()
 
 
 class CallConnections:
-    """Connections to nodes by address, opened when they are needed."""
+    """Connections to nodes by address, opened on first use."""
 
     def __init__(self) -> None:
         self._connections: dict[tuple[str, int], CallConnection] = {}
         self._connecting: dict[tuple[str, int], asyncio.Lock] = {}
 
     async def call(self, address: tuple[str, int], request: Request, timeout_s: float) -> Reply:
-        """Calls a node; a connection without an answer is closed. Raises `CallFailed`."""
-        connection = await self._connected(address)
+        """Calls a node. Closes the connection if no reply arrives. Raises `CallFailed`."""
+        connection = await self._get_connection(address)
         try:
             return await connection.call(request, timeout_s)
         except CallFailed as failure:
@@ -236,7 +241,7 @@
                 connection.close()
             raise
 
-    async def _connected(self, address: tuple[str, int]) -> CallConnection:
+    async def _get_connection(self, address: tuple[str, int]) -> CallConnection:
         lock = self._connecting.setdefault(address, asyncio.Lock())
         async with lock:
             connection = self._connections.get(address)
@@ -250,6 +255,6 @@
             return connection
 
     def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         for connection in self._connections.values():
             connection.close()
--- a/stileloom/transport/codec.py
+++ b/stileloom/transport/codec.py
@@ -1,4 +1,4 @@
-"""How a network turns messages into frames."""
+"""Interface of message codecs."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Codec(Protocol):
-    """Encodes messages with their sender."""
+    """Encodes messages together with their sender."""
 
     def encode(self, message: object) -> bytes:
-        """A message as a frame."""
+        """Encodes a message as a frame."""
 
     def decode(self, frame: bytes) -> tuple[str, Any]:
-        """The sender and the message. Raises `msgspec.DecodeError`."""
+        """Returns the sender and the message. Raises `msgspec.DecodeError`."""
 
     def fits_datagram(self, message: object) -> bool:
-        """Whether the message may be lost, and so go by UDP."""
+        """Whether the message tolerates loss and may be sent over UDP."""
--- a/stileloom/transport/compression.py
+++ b/stileloom/transport/compression.py
@@ -1,6 +1,6 @@
-"""Bodies of frames between nodes, compressed where that makes them smaller.
+"""Compression of frame bodies between nodes.
 
-Bytes between zones cost more than processor time, and what goes there is mostly text.
+The bodies are mostly text, and traffic between zones costs more than the CPU time.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 PLAIN = b"\x00"
 DEFLATED = b"\x01"
 MIN_BYTES = 128
-"""Below this a body hardly gets smaller."""
+"""Smaller bodies are not compressed."""
 LEVEL = 6
 
 
 def pack(body: bytes, compress: bool = True) -> bytes:
-    """A body behind a byte that says how it is encoded."""
+    """Prefixes the body with its encoding byte; compresses it if that saves space."""
     if compress and len(body) >= MIN_BYTES:
         deflated = zlib.compress(body, LEVEL)
         if len(deflated) < len(body):
@@ -24,17 +24,22 @@
 
 
 def unpack(packed: bytes, max_bytes: int) -> bytes:
-    """The body. Raises `ValueError` where it is none, or longer than `max_bytes`."""
-    kind, body = packed[:1], packed[1:]
-    if kind == PLAIN:
+    """Returns the body.
+
+    Raises `ValueError` if `packed` is invalid or inflates to more than `max_bytes`.
+    """
+    encoding, body = packed[:1], packed[1:]
+    if encoding == PLAIN:
         return body
-    if kind != DEFLATED:
-        raise ValueError("a frame of unknown encoding")
+    if encoding != DEFLATED:
+        raise ValueError(f"unknown frame encoding: {encoding!r}")
     inflater = zlib.decompressobj()
     try:
         inflated = inflater.decompress(body, max_bytes)
     except zlib.error as error:
-        raise ValueError(f"a damaged frame: {error}") from error
+        raise ValueError(f"corrupt compressed frame: {error}") from error
     if not inflater.eof:
-        raise ValueError("a frame that is cut or too long")
+        raise ValueError(
+            f"compressed frame is truncated or inflates to more than {max_bytes} bytes"
+        )
     return inflated
--- a/stileloom/transport/network.py
+++ b/stileloom/transport/network.py
@@ -1,7 +1,7 @@
-"""The internal protocol over sockets: datagrams for small messages, framed TCP for the rest.
+"""The internal protocol: UDP for small messages that may be lost, framed TCP for the rest.
 
-Delivery is best effort, as the parts expect: a datagram may be lost, and frames that wait
-for a peer that does not answer are dropped once there are too many.
+Delivery is best effort: datagrams may be lost, and when a peer is unreachable or its queue is
+full, queued frames are dropped.
 """
 
 from __future__ import annotations
@@ -23,19 +23,18 @@
 FRAME_HEADER = struct.Struct(">I")
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 MAX_DATAGRAM_BYTES = 8192
-"""A larger message goes by TCP, whatever its kind."""
+"""Larger messages are always sent over TCP."""
 MAX_QUEUED_FRAMES = 1024
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_PAUSE_S = 0.2
-
 TCP_USER_TIMEOUT_MS = 1500
-"""How long sent bytes may go without an acknowledgement before the connection ends."""
+"""Time after which unacknowledged data closes a connection."""
 
-Receiver = Callable[[str, Any], None]
+MessageHandler = Callable[[str, Any], None]
 
 
 class TrafficCount(msgspec.Struct):
-    """Bytes and messages of the internal protocol since the start."""
+    """Bytes and messages of the internal protocol since this process started."""
 
     sent_bytes: int = 0
     sent_messages: int = 0
@@ -44,26 +43,26 @@
 
 
 class Network:
-    """Sends and receives messages of one node."""
+    """Sends and receives the messages of one node."""
 
-    def __init__(self, codec: Codec, receiver: Receiver) -> None:
+    def __init__(self, codec: Codec, on_message: MessageHandler) -> None:
         self.traffic = TrafficCount()
         self._codec = codec
-        self._receiver = receiver
-        self._peers: dict[tuple[str, int], _Peer] = {}
+        self._on_message = on_message
+        self._peers: dict[tuple[str, int], _PeerConnection] = {}
         self._datagrams: asyncio.DatagramTransport | None = None
-        self._server = _FrameServer(self._received)
+        self._server = _FrameServer(self._on_frame)
 
     async def start(self, host: str, port: int) -> None:
-        """Listens on TCP and UDP. Raises `OSError` where the port is taken."""
+        """Listens on TCP and UDP. Raises `OSError` if the port is in use."""
         self._server.listen(port, address=host)
         loop = asyncio.get_running_loop()
         self._datagrams, _ = await loop.create_datagram_endpoint(
-            lambda: _DatagramProtocol(self._received), local_addr=(host, port)
+            lambda: _DatagramProtocol(self._on_frame), local_addr=(host, port)
         )
 
     def send(self, address: tuple[str, int], message: object) -> None:
-        """Sends a message, best effort."""
+        """Sends a message without a delivery guarantee."""
         frame = self._codec.encode(message)
         self.traffic.sent_bytes += len(frame)
         self.traffic.sent_messages += 1
@@ -73,57 +72,57 @@
             return
         peer = self._peers.get(address)
         if peer is None:
-            peer = _Peer(address)
+            peer = _PeerConnection(address)
             self._peers[address] = peer
         peer.send(frame)
 
     def stop(self) -> None:
-        """Closes every socket."""
+        """Closes all sockets."""
         self._server.close()
         if self._datagrams is not None:
             self._datagrams.close()
         for peer in self._peers.values():
             peer.close()
 
-    def _received(self, frame: bytes) -> None:
+    def _on_frame(self, frame: bytes) -> None:
         self.traffic.received_bytes += len(frame)
         self.traffic.received_messages += 1
         try:
             sender, message = self._codec.decode(frame)
         except msgspec.DecodeError:
-            # Not from a node of this version: nothing can be done with it.
+            # Sent by an incompatible version.
             return
-        self._receiver(sender, message)
+        self._on_message(sender, message)
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes each datagram to a callback."""
 
-    def __init__(self, received: Callable[[bytes], None]) -> None:
-        self._received = received
+    def __init__(self, on_frame: Callable[[bytes], None]) -> None:
+        self._on_frame = on_frame
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """One datagram arrived."""
-        self._received(data)
+        """Implements `asyncio.DatagramProtocol`."""
+        self._on_frame(data)
 
 
 class _FrameServer(TCPServer):
-    """Reads frames from peers."""
+    """Accepts connections and passes each frame to a callback."""
 
-    def __init__(self, received: Callable[[bytes], None]) -> None:
+    def __init__(self, on_frame: Callable[[bytes], None]) -> None:
         super().__init__(max_buffer_size=MAX_FRAME_BYTES)
-        self._received = received
-        self._accepted: set[IOStream] = set()
+        self._on_frame = on_frame
+        self._open_streams: set[IOStream] = set()
 
     def close(self) -> None:
-        """Stops listening and closes what was accepted."""
+        """Stops listening and closes all accepted connections."""
         self.stop()
-        for stream in list(self._accepted):
+        for stream in list(self._open_streams):
             stream.close()
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Reads frames until the peer closes."""
-        self._accepted.add(stream)
+        """Reads frames until the connection is closed."""
+        self._open_streams.add(stream)
         try:
             while True:
                 header = await stream.read_bytes(FRAME_HEADER.size)
@@ -131,15 +130,15 @@
                 if length > MAX_FRAME_BYTES:
                     stream.close()
                     return
-                self._received(await stream.read_bytes(length))
+                self._on_frame(await stream.read_bytes(length))
         except StreamClosedError:
             return
         finally:
-            self._accepted.discard(stream)
+            self._open_streams.discard(stream)
 
 
-class _Peer:
-    """An outgoing connection that is opened when needed and again after it broke."""
+class _PeerConnection:
+    """An outgoing connection, opened on demand and reopened after a failure."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
@@ -148,13 +147,13 @@
         self._writer: asyncio.Task[None] | None = None
 
     def send(self, frame: bytes) -> None:
-        """Queues a frame; the oldest one is dropped where too many wait."""
+        """Queues a frame; drops the oldest one if the queue is full."""
         self._queue.append(frame)
         if self._writer is None or self._writer.done():
             self._writer = asyncio.get_running_loop().create_task(self._write())
 
     def close(self) -> None:
-        """Closes the connection and drops what waits."""
+        """Closes the connection and drops all queued frames."""
         self._queue.clear()
         if self._writer is not None:
             self._writer.cancel()
@@ -164,21 +163,21 @@
     async def _write(self) -> None:
         while self._queue:
             try:
-                stream = await self._connected()
+                stream = await self._get_stream()
                 frame = self._queue.popleft()
                 await stream.write(FRAME_HEADER.pack(len(frame)) + frame)
             except (StreamClosedError, OSError, TimeoutError):
                 self._stream = None
-                # What waited so long is out of date; the parts send again what matters.
+                # Queued messages are outdated by now; senders retry those that still matter.
                 self._queue.clear()
                 await asyncio.sleep(RECONNECT_PAUSE_S)
 
-    async def _connected(self) -> IOStream:
+    async def _get_stream(self) -> IOStream:
         if self._stream is not None and not self._stream.closed():
             return self._stream
         host, port = self._address
         self._stream = await TCPClient().connect(host, port, timeout=CONNECT_TIMEOUT_S)
         self._stream.set_nodelay(True)
-        connected = self._stream.socket
-        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+        tcp_socket = self._stream.socket
+        tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         return self._stream
