--- a/stileloom/http1/__init__.py
+++ b/stileloom/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 towards samplers: strict framing, one request at a time on a connection."""
+"""HTTP/1.1 client for samplers: strict framing, no pipelining."""
--- a/stileloom/http1/caller.py
+++ b/stileloom/http1/caller.py
@@ -1,4 +1,4 @@
-"""Single calls over kept connections, with a time limit."""
+"""Single requests over pooled connections, with a timeout."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class NotSent(Exception):
-    """The caller no longer wanted the request sent when the connection stood."""
+    """`may_send` returned False once a connection was available."""
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     head: ResponseHead
     body: bytes
@@ -35,10 +35,10 @@
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> CallAnswer | None:
-    """Sends one request; None where no whole answer came in time.
+    """Sends one request. Returns None if no complete response arrives in time.
 
-    A connection that did not answer is closed: nothing more can be expected of it. Raises
-    `NotSent` where `may_send` says no when the connection stands.
+    On a timeout the connection is closed instead of being returned to the pool. `may_send` is
+    checked once a connection is available; raises `NotSent` if it returns False.
     """
     all_headers = [("Host", f"{address[0]}:{address[1]}"), *headers]
     if body:
@@ -50,11 +50,11 @@
     if not may_send():
         pool.release(peer_id, connection)
         raise NotSent
-    answer = WholeAnswer()
-    connection.exchange(encode_request(method, target, all_headers, body), answer)
+    response = WholeAnswer()
+    connection.exchange(encode_request(method, target, all_headers, body), response)
     try:
         async with asyncio.timeout(timeout_s):
-            await answer.done
+            await response.done
     except TimeoutError:
         connection.close()
         return None
@@ -62,6 +62,6 @@
         connection.close()
         raise
     pool.release(peer_id, connection)
-    if not answer.whole or answer.head is None:
+    if not response.whole or response.head is None:
         return None
-    return CallAnswer(answer.head, answer.body)
+    return CallAnswer(response.head, response.body)
--- a/stileloom/http1/connection.py
+++ b/stileloom/http1/connection.py
@@ -12,7 +12,7 @@
 from stileloom.http1.response_decoder import MalformedResponse, ResponseDecoder, ResponseHead
 
 CONNECT_TIMEOUT_S = 0.5
-"""A lost opening packet is sent again after a second: a new try is sooner there."""
+"""Shorter than the kernel's first SYN retransmission (1 s): a new attempt is faster."""
 TCP_USER_TIMEOUT_MS = 2000
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
@@ -26,27 +26,27 @@
 
     COMPLETE = "complete"
     NO_ANSWER = "no_answer"
-    """The connection ended before a response head: the request may have run."""
+    """The connection closed before a response head; the request may have been executed."""
     CUT = "cut"
-    """The response is not whole."""
+    """The connection closed before the end of the response."""
     MALFORMED = "malformed"
 
 
 class ExchangeSink(Protocol):
-    """Takes the parts of one response."""
+    """Receives the parts of one response."""
 
     def on_head(self, head: ResponseHead) -> None:
         """The status and headers."""
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """A fragment of the body."""
 
     def on_end(self, end: ExchangeEnd) -> None:
-        """Nothing more follows."""
+        """The exchange ended; this is the last callback."""
 
 
 class SamplerConnection(asyncio.Protocol):
-    """One connection. Bytes that belong to no request close it."""
+    """One keep-alive connection; data received outside an exchange closes it."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -66,14 +66,14 @@
         return protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: the connection stands."""
+        """Implements `asyncio.Protocol`."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        _set_options(transport.get_extra_info("socket"))
+        _set_socket_options(transport.get_extra_info("socket"))
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent now."""
+        """Whether another request can be sent now."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
@@ -83,44 +83,44 @@
         )
 
     def exchange(self, request: bytes, sink: ExchangeSink, method: str = "GET") -> None:
-        """Sends a request; its response goes to `sink`."""
+        """Sends a request and passes its response to `sink`."""
         assert self._sink is None and self._transport is not None
         self._sink = sink
         self._decoder = ResponseDecoder(method)
         self._transport.write(request)
 
     def close(self) -> None:
-        """Closes at once; an exchange under way hears nothing more."""
+        """Aborts the connection; the sink of an exchange in progress is not notified."""
         self._sink = None
         self._reusable = False
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes arrived."""
+        """Implements `asyncio.Protocol`."""
         sink = self._sink
         if sink is None:
             self.close()
             return
-        head_known = self._decoder.head is not None
+        had_head = self._decoder.head is not None
         try:
             parts = self._decoder.feed(data)
         except MalformedResponse:
             self._finish(ExchangeEnd.MALFORMED)
             return
-        if not head_known and self._decoder.head is not None:
-            self._note_keep_alive(self._decoder.head)
+        if not had_head and self._decoder.head is not None:
+            self._apply_keep_alive_headers(self._decoder.head)
             sink.on_head(self._decoder.head)
         for part in parts:
             if self._sink is sink:
                 sink.on_body(part)
         if self._sink is sink and self._decoder.done:
-            if self._decoder.has_excess:
+            if self._decoder.has_trailing_data:
                 self._reusable = False
             self._finish(ExchangeEnd.COMPLETE)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is gone."""
+        """Ends the current exchange, if any."""
         self._reusable = False
         if self._sink is None:
             return
@@ -142,21 +142,21 @@
         if sink is not None:
             sink.on_end(end)
 
-    def _note_keep_alive(self, head: ResponseHead) -> None:
+    def _apply_keep_alive_headers(self, head: ResponseHead) -> None:
         if "close" in head.headers.get("Connection", "").lower():
             self._reusable = False
         match = _KEEP_ALIVE_TIMEOUT.search(head.headers.get("Keep-Alive", ""))
         if match is not None:
-            rest_s = max(0.0, int(match.group(1)) - KEEP_ALIVE_MARGIN_S)
-            self._idle_until = steady_time() + rest_s
+            idle_s = max(0.0, int(match.group(1)) - KEEP_ALIVE_MARGIN_S)
+            self._idle_until = steady_time() + idle_s
 
 
-def _set_options(connected: socket.socket) -> None:
-    """No delay of small writes; a peer that is silent on the link is noticed within seconds."""
+def _set_socket_options(tcp_socket: socket.socket) -> None:
+    """Disables Nagle's algorithm and detects an unresponsive peer within seconds."""
     tcp = socket.IPPROTO_TCP
-    connected.setsockopt(tcp, socket.TCP_NODELAY, 1)
-    connected.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connected.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-    connected.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
-    connected.setsockopt(tcp, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    tcp_socket.setsockopt(tcp, socket.TCP_NODELAY, 1)
+    tcp_socket.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
--- a/stileloom/http1/event_stream.py
+++ b/stileloom/http1/event_stream.py
@@ -1,8 +1,7 @@
-"""Parses a stream of server-sent events, with the weight version of each event.
+"""Parser for server-sent events that may carry a weight version.
 
-An event is a block of lines that ends with an empty line. Only whole events count: a
-sampler may stop in the middle of one.
-Source: WHATWG HTML, "Server-sent events"; the version line is this product's addition.
+An event is terminated by an empty line; an incomplete event is never returned.
+Format: WHATWG HTML, "Server-sent events", with an additional field for the weight version.
 """
 
 from __future__ import annotations
@@ -11,46 +10,46 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event."""
+    """A parsed event."""
 
     event_id: int
     data: str
     version: int | None
-    """Set where the event says that the weights changed with it."""
+    """The weight version from this event on; None if the event does not state one."""
 
 
 class MalformedEvent(Exception):
-    """The bytes are no event."""
+    """The data is not a valid event."""
 
 
 class RawEvent(msgspec.Struct, frozen=True):
-    """One whole event as it came, to be passed on."""
+    """A complete event as received, to be forwarded unchanged."""
 
     event_id: int | None
     raw: bytes
 
 
 class EventSplitter:
-    """Cuts a stream into whole events without looking at their data."""
+    """Splits a stream into complete events without parsing their data."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def has_partial(self) -> bool:
-        """Whether an event was begun and not ended."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[RawEvent]:
-        """Adds bytes; returns whole events."""
+        """Adds bytes and returns the events completed by them."""
         self._buffer += data
         events: list[RawEvent] = []
         while True:
-            end = self._buffer.find(b"\n\n")
-            if end < 0:
+            separator_at = self._buffer.find(b"\n\n")
+            if separator_at < 0:
                 return events
-            raw = bytes(self._buffer[: end + 2])
-            del self._buffer[: end + 2]
+            raw = bytes(self._buffer[: separator_at + 2])
+            del self._buffer[: separator_at + 2]
             events.append(RawEvent(_event_id(raw), raw))
 
 
@@ -63,7 +62,7 @@
 
 
 class EventStreamParser:
-    """Takes bytes of a body; returns whole events."""
+    """Parses the body of an event stream incrementally."""
 
     def __init__(self, version_field: str) -> None:
         self._version_field = version_field.lower()
@@ -71,27 +70,27 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether an event was begun and not ended."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Adds bytes. Raises `MalformedEvent`."""
+        """Adds bytes and returns the events completed by them. Raises `MalformedEvent`."""
         self._buffer += data
         events: list[StreamEvent] = []
         while True:
-            end = self._buffer.find(b"\n\n")
-            if end < 0:
+            separator_at = self._buffer.find(b"\n\n")
+            if separator_at < 0:
                 return events
-            block = bytes(self._buffer[:end])
-            del self._buffer[: end + 2]
-            if block.strip():
-                events.append(self._parse(block))
+            event_bytes = bytes(self._buffer[:separator_at])
+            del self._buffer[: separator_at + 2]
+            if event_bytes.strip():
+                events.append(self._parse(event_bytes))
 
-    def _parse(self, block: bytes) -> StreamEvent:
+    def _parse(self, event_bytes: bytes) -> StreamEvent:
         try:
-            lines = block.decode("utf-8").split("\n")
+            lines = event_bytes.decode("utf-8").split("\n")
         except UnicodeDecodeError as error:
-            raise MalformedEvent("not UTF-8") from error
+            raise MalformedEvent("event is not valid UTF-8") from error
         event_id = None
         version = None
         data: list[str] = []
@@ -105,5 +104,5 @@
             elif name == self._version_field and value.strip().isdecimal():
                 version = int(value)
         if event_id is None:
-            raise MalformedEvent("an event without an id")
+            raise MalformedEvent("event has no numeric id")
         return StreamEvent(event_id, "\n".join(data), version)
--- a/stileloom/http1/pool.py
+++ b/stileloom/http1/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to samplers, by the sampler's incarnation."""
+"""Pool of keep-alive connections to samplers, keyed by the sampler's incarnation."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ConnectionPool:
-    """Idle connections of each sampler; the one used last is taken first."""
+    """Idle connections of each sampler, reused in LIFO order."""
 
     def __init__(self, on_open: Callable[[], None] = lambda: None) -> None:
         self._on_open = on_open
         self._idle: dict[str, list[SamplerConnection]] = {}
 
     async def acquire(self, sampler_id: str, address: tuple[str, int]) -> SamplerConnection:
-        """An idle connection, or a new one. Raises `OSError` or `TimeoutError`."""
+        """Returns an idle connection or opens one. Raises `OSError` or `TimeoutError`."""
         idle = self._idle.get(sampler_id, [])
         while idle:
             connection = idle.pop()
@@ -26,13 +26,13 @@
         return await SamplerConnection.open(address)
 
     def release(self, sampler_id: str, connection: SamplerConnection) -> None:
-        """Gives a connection back after a whole exchange."""
+        """Returns a connection to the pool after an exchange; closes it if it is not usable."""
         if connection.usable:
             self._idle.setdefault(sampler_id, []).append(connection)
         else:
             connection.close()
 
     def forget(self, sampler_id: str) -> None:
-        """Closes what is kept for a sampler that is gone."""
+        """Closes the idle connections of a sampler that was removed."""
         for connection in self._idle.pop(sampler_id, []):
             connection.close()
--- a/stileloom/http1/request_encoder.py
+++ b/stileloom/http1/request_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes a request to a sampler."""
+"""Encoder for HTTP/1.1 requests."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
         "expect",
     }
 )
-"""Headers of a single connection (RFC 9110, section 7.6.1); never passed on."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), never forwarded."""
 
 
 def encode_request(
     method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes
 ) -> bytes:
-    """The bytes of a request; `headers` without those of a single connection."""
+    """Encodes a request; `headers` must not include hop-by-hop headers."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body or method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
@@ -34,7 +34,7 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]], connection: str = "") -> list[tuple[str, str]]:
-    """Headers that go on to the next hop; `connection` names more of a single connection."""
-    named = {name.strip().lower() for name in connection.split(",")}
-    dropped = HOP_BY_HOP | named | {"content-length"}
+    """Returns the end-to-end headers; `connection` is the value of the Connection header."""
+    connection_options = {name.strip().lower() for name in connection.split(",")}
+    dropped = HOP_BY_HOP | connection_options | {"content-length"}
     return [(name, value) for name, value in headers if name.lower() not in dropped]
--- a/stileloom/http1/response_decoder.py
+++ b/stileloom/http1/response_decoder.py
@@ -1,8 +1,6 @@
-"""Decodes one HTTP/1.1 response from bytes as they arrive.
+"""Incremental decoder for one HTTP/1.1 response (RFC 9112, sections 6 and 7); does no I/O.
 
-No socket here. The decoder is strict: what is not an answer in the protocol, or stands
-behind the end of an answer, is told apart from it and reaches nobody.
-Source: RFC 9112, sections 6 and 7.
+Malformed responses raise an error; data after the end of the response is never part of its body.
 """
 
 from __future__ import annotations
@@ -20,7 +18,7 @@
 
 
 class MalformedResponse(Exception):
-    """The bytes are no answer in the protocol."""
+    """The data is not a valid HTTP/1.1 response."""
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
@@ -43,27 +41,27 @@
 
 
 class ResponseDecoder:
-    """Takes bytes; tells the head, the body's parts and the end."""
+    """Decodes the head and the body of one response."""
 
     def __init__(self, method: str = "GET") -> None:
         self._method = method
         self.head: ResponseHead | None = None
         self._buffer = bytearray()
         self._stage = _Stage.HEAD
-        self._left = 0
+        self._remaining = 0
 
     @property
     def done(self) -> bool:
-        """Whether the whole answer was read."""
+        """Whether the response is complete."""
         return self._stage is _Stage.DONE
 
     @property
-    def has_excess(self) -> bool:
-        """Whether bytes follow the end of the answer."""
+    def has_trailing_data(self) -> bool:
+        """Whether data was received after the end of the response."""
         return self.done and bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes and returns the parts of the body in them.
+        """Adds bytes and returns the fragments of the body in them.
 
         Raises `MalformedResponse`.
         """
@@ -74,16 +72,16 @@
         return parts
 
     def closed(self, clean: bool) -> None:
-        """The peer closed the connection; ends an answer without a length if cleanly."""
+        """The peer closed the connection; completes a response delimited by a clean close."""
         if self._stage is _Stage.UNTIL_CLOSE and clean:
             self._stage = _Stage.DONE
 
     def _step(self, parts: list[bytes]) -> bool:
-        """One step of decoding; False where more bytes are needed."""
+        """Advances the state machine; returns False if it needs more data."""
         if self._stage is _Stage.HEAD:
             return self._read_head()
         if self._stage in (_Stage.LENGTH, _Stage.CHUNK_DATA):
-            return self._read_counted(parts)
+            return self._read_sized(parts)
         if self._stage is _Stage.CHUNK_SIZE:
             return self._read_chunk_size()
         if self._stage is _Stage.CHUNK_END:
@@ -101,51 +99,54 @@
             if len(self._buffer) > MAX_HEAD_BYTES or not b"HTTP/1.".startswith(
                 bytes(self._buffer[:7])
             ):
-                raise MalformedResponse("no response head")
+                raise MalformedResponse("invalid or oversized response head")
             return False
         head = bytes(self._buffer[:end])
         del self._buffer[: end + 4]
         status_line, _, rest = head.partition(b"\r\n")
         match = _STATUS_LINE.match(status_line)
         if match is None:
-            raise MalformedResponse("bad status line")
+            raise MalformedResponse(f"invalid status line: {status_line[:80]!r}")
         status = int(match.group(1))
         if status < 200:
             return True
         try:
             headers = HTTPHeaders.parse(rest.decode("latin1"))
         except Exception as error:
-            raise MalformedResponse("bad header") from error
+            raise MalformedResponse("invalid header") from error
         reason = (match.group(2) or b"").decode("latin1")
         self.head = ResponseHead(status, reason, headers)
-        self._choose_framing(status, headers)
+        self._select_framing(status, headers)
         return True
 
-    def _choose_framing(self, status: int, headers: HTTPHeaders) -> None:
+    def _select_framing(self, status: int, headers: HTTPHeaders) -> None:
         lengths = headers.get_list("Content-Length")
-        coding = headers.get("Transfer-Encoding")
+        transfer_encoding = headers.get("Transfer-Encoding")
         if status in (204, 304) or self._method == "HEAD":
             self._stage = _Stage.DONE
-        elif coding is not None:
-            if coding.strip().lower() != "chunked" or lengths:
-                raise MalformedResponse("bad transfer coding")
+        elif transfer_encoding is not None:
+            if transfer_encoding.strip().lower() != "chunked" or lengths:
+                raise MalformedResponse(
+                    f"invalid framing: Transfer-Encoding {transfer_encoding!r}, "
+                    f"Content-Length {lengths}"
+                )
             self._stage = _Stage.CHUNK_SIZE
         elif lengths:
             if len(set(lengths)) != 1 or not lengths[0].isdecimal():
-                raise MalformedResponse("bad length")
-            self._left = int(lengths[0])
-            self._stage = _Stage.LENGTH if self._left else _Stage.DONE
+                raise MalformedResponse(f"invalid Content-Length: {lengths}")
+            self._remaining = int(lengths[0])
+            self._stage = _Stage.LENGTH if self._remaining else _Stage.DONE
         else:
             self._stage = _Stage.UNTIL_CLOSE
 
-    def _read_counted(self, parts: list[bytes]) -> bool:
+    def _read_sized(self, parts: list[bytes]) -> bool:
         if not self._buffer:
             return False
-        part = bytes(self._buffer[: self._left])
-        del self._buffer[: self._left]
-        self._left -= len(part)
+        part = bytes(self._buffer[: self._remaining])
+        del self._buffer[: self._remaining]
+        self._remaining -= len(part)
         parts.append(part)
-        if self._left == 0:
+        if self._remaining == 0:
             in_chunk = self._stage is _Stage.CHUNK_DATA
             self._stage = _Stage.CHUNK_END if in_chunk else _Stage.DONE
         return True
@@ -154,7 +155,7 @@
         end = self._buffer.find(b"\r\n")
         if end < 0:
             if len(self._buffer) > MAX_CHUNK_LINE_BYTES:
-                raise MalformedResponse("chunk line too long")
+                raise MalformedResponse(f"chunk line exceeds {MAX_CHUNK_LINE_BYTES} bytes")
             return None
         line = bytes(self._buffer[:end])
         del self._buffer[: end + 2]
@@ -166,16 +167,16 @@
             return False
         digits = line.partition(b";")[0].strip()
         if not _HEX.match(digits):
-            raise MalformedResponse("bad chunk size")
-        self._left = int(digits, 16)
-        self._stage = _Stage.CHUNK_DATA if self._left else _Stage.TRAILER
+            raise MalformedResponse(f"invalid chunk size: {digits!r}")
+        self._remaining = int(digits, 16)
+        self._stage = _Stage.CHUNK_DATA if self._remaining else _Stage.TRAILER
         return True
 
     def _read_chunk_end(self) -> bool:
         if len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
-            raise MalformedResponse("chunk without its end")
+            raise MalformedResponse("chunk is not terminated by CRLF")
         del self._buffer[:2]
         self._stage = _Stage.CHUNK_SIZE
         return True
--- a/stileloom/http1/whole_answer.py
+++ b/stileloom/http1/whole_answer.py
@@ -1,4 +1,4 @@
-"""Collects a response until nothing more follows."""
+"""Collects a response in memory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WholeAnswer:
-    """Takes one response; the future is done when nothing more follows."""
+    """An `ExchangeSink` that buffers a response; `done` resolves when the exchange ends."""
 
     def __init__(self) -> None:
         self.done: asyncio.Future[ExchangeEnd] = asyncio.get_running_loop().create_future()
@@ -18,23 +18,23 @@
 
     @property
     def body(self) -> bytes:
-        """All of the body so far."""
+        """The body received so far."""
         return b"".join(self._parts)
 
     @property
     def whole(self) -> bool:
-        """Whether the answer came to its end."""
+        """Whether the response is complete."""
         return self.done.done() and self.done.result() is ExchangeEnd.COMPLETE
 
     def on_head(self, head: ResponseHead) -> None:
-        """The status and headers."""
+        """Implements `ExchangeSink`."""
         self.head = head
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Implements `ExchangeSink`."""
         self._parts.append(data)
 
     def on_end(self, end: ExchangeEnd) -> None:
-        """Nothing more follows."""
+        """Implements `ExchangeSink`."""
         if not self.done.done():
             self.done.set_result(end)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -334,7 +334,7 @@
         "bytes behind an answer are taken for the next one",
         "whole answers (routes)",
         "stileloom/http1/connection.py",
-        "            if self._decoder.has_excess:\n                self._reusable = False\n",
+        "            if self._decoder.has_trailing_data:\n                self._reusable = False\n",
         "",
         "tests/test_http1.py",
     ),
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards samplers: framing, excess bytes, cut answers, event streams, reuse."""
+"""HTTP/1.1 client: framing, trailing data, truncated responses, event streams, keep-alive."""
 
 from __future__ import annotations
 
@@ -23,50 +23,50 @@
 
 
 def decode(*chunks: bytes, method: str = "GET") -> tuple[ResponseDecoder, bytes]:
-    """A decoder that was fed, and the body."""
+    """Decodes chunks; returns the decoder and the body."""
     decoder = ResponseDecoder(method)
     body = b"".join(part for chunk in chunks for part in decoder.feed(chunk))
     return decoder, body
 
 
 class DecoderTest(testtools.TestCase):
-    """Framing."""
+    """Framing of responses."""
 
-    def test_a_length(self) -> None:
+    def test_content_length(self) -> None:
         decoder, body = decode(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", b"lo")
-        self.assertEqual((True, False, b"hello"), (decoder.done, decoder.has_excess, body))
+        self.assertEqual((True, False, b"hello"), (decoder.done, decoder.has_trailing_data, body))
 
-    def test_chunks(self) -> None:
+    def test_chunked_body(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         decoder, body = decode(head + b"3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n")
         self.assertEqual((True, b"abcde"), (decoder.done, body))
 
-    def test_an_answer_without_its_last_chunk_is_not_whole(self) -> None:
+    def test_response_without_last_chunk_is_incomplete(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         decoder, _ = decode(head + b"3\r\nabc\r\n")
         decoder.closed(clean=True)
         self.assertFalse(decoder.done)
 
-    def test_an_answer_without_a_length_is_whole_only_if_closed_cleanly(self) -> None:
+    def test_close_delimited_response_is_complete_only_after_clean_close(self) -> None:
         for clean in (True, False):
             decoder, body = decode(b"HTTP/1.1 200 OK\r\n\r\nabc")
             decoder.closed(clean=clean)
             self.assertEqual((clean, b"abc"), (decoder.done, body))
 
-    def test_excess_bytes_are_seen(self) -> None:
+    def test_trailing_data_is_detected(self) -> None:
         decoder, body = decode(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK")
-        self.assertEqual((True, True, b"a"), (decoder.done, decoder.has_excess, body))
+        self.assertEqual((True, True, b"a"), (decoder.done, decoder.has_trailing_data, body))
 
-    def test_a_head_answer_has_no_body(self) -> None:
+    def test_response_to_head_has_no_body(self) -> None:
         decoder, _ = decode(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", method="HEAD")
         self.assertTrue(decoder.done)
 
-    def test_interim_answers_are_skipped(self) -> None:
+    def test_interim_responses_are_skipped(self) -> None:
         decoder, _ = decode(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 N\r\n\r\n")
         assert decoder.head is not None
         self.assertEqual(204, decoder.head.status)
 
-    def test_what_is_no_answer_is_refused(self) -> None:
+    def test_malformed_responses_are_rejected(self) -> None:
         ok = b"HTTP/1.1 200 OK\r\n"
         for data in (
             b"\x00\x01\x02 garbage",
@@ -83,7 +83,7 @@
             self.assertRaises(MalformedResponse, decode, data)
 
     @hypothesis.given(strategies.lists(strategies.binary(max_size=40)), strategies.data())
-    def test_any_cutting_of_the_bytes_gives_the_same(
+    def test_decoding_does_not_depend_on_fragmentation(
         self, parts: list[bytes], data: strategies.DataObject
     ) -> None:
         sent = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -95,9 +95,9 @@
 
 
 class EventStreamTest(testtools.TestCase):
-    """Events."""
+    """Parsing of server-sent events."""
 
-    def test_versions_ids_and_data(self) -> None:
+    def test_version_id_and_data(self) -> None:
         parser = EventStreamParser("Weight")
         events = parser.feed(b"weight: 7\nid: 1\ndata: a\ndata: b\n\nid: 2\ndata:c\n\nid: 3\nda")
         self.assertEqual(
@@ -107,15 +107,15 @@
         self.assertEqual(1, len(parser.feed(b"ta: x\n\n")))
         self.assertFalse(parser.has_partial)
 
-    def test_what_is_no_event_is_refused(self) -> None:
+    def test_malformed_events_are_rejected(self) -> None:
         for data in (b"data: x\n\n", b"\xff\xfe\n\n", b"id: x\ndata: y\n\n"):
             self.assertRaises(MalformedEvent, EventStreamParser("w").feed, data)
 
 
 class RequestTest(testtools.TestCase):
-    """What goes to a sampler."""
+    """Encoding of requests."""
 
-    def test_headers_of_one_connection_stay_behind(self) -> None:
+    def test_hop_by_hop_headers_are_removed(self) -> None:
         headers = [
             ("A", "1"),
             ("Connection", "b"),
@@ -125,7 +125,7 @@
         ]
         self.assertEqual([("A", "1")], end_to_end(headers, "b"))
 
-    def test_a_body_has_a_length(self) -> None:
+    def test_content_length_is_added(self) -> None:
         request = encode_request("POST", "/p?q", [("Host", "h")], b"xy")
         self.assertEqual(b"POST /p?q HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nxy", request)
 
@@ -134,7 +134,7 @@
 
 
 def with_peer(peer: Peer, scenario: Callable[[tuple[str, int]], Awaitable[None]]) -> None:
-    """Runs a scenario against a peer on a port that the kernel chooses."""
+    """Runs a scenario against a peer on an ephemeral port."""
 
     async def run() -> None:
         server = await asyncio.start_server(peer, HOST, 0)
@@ -145,14 +145,14 @@
     asyncio.run(run())
 
 
-def answering(*answers: bytes, then_close: bool = False) -> Peer:
-    """A peer that gives prepared answers, one for each request."""
+def responding_peer(*responses: bytes, then_close: bool = False) -> Peer:
+    """A peer that sends one prepared response for each request."""
 
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        for answer in answers:
+        for response in responses:
             if not await reader.read(65_536):
                 return
-            writer.write(answer)
+            writer.write(response)
             await writer.drain()
         if then_close:
             writer.close()
@@ -161,19 +161,19 @@
 
 
 def ok(request_id: str, body: bytes = b"x") -> bytes:
-    """A whole answer."""
+    """A complete response."""
     head = f"HTTP/1.1 200 OK\r\n{NAMES.request_id}: {request_id}\r\nContent-Length: {len(body)}"
     return head.encode() + b"\r\n\r\n" + body
 
 
 class ConnectionTest(testtools.TestCase):
-    """One request at a time; bytes that belong to none close the connection."""
+    """Connection reuse, and mapping of responses to attempt outcomes."""
 
     async def _attempt(self, connection: SamplerConnection, request_id: str) -> AttemptOutcome:
         attempt = await run_exchange(connection, b"x", "s", request_id, NAMES)
         return attempt.outcome
 
-    def test_a_whole_answer_leaves_the_connection_for_the_next(self) -> None:
+    def test_connection_is_reused_after_complete_response(self) -> None:
         async def scenario(address: tuple[str, int]) -> None:
             opened: list[int] = []
             pool = ConnectionPool(lambda: opened.append(1))
@@ -184,38 +184,38 @@
                 pool.release("s", connection)
             self.assertEqual([1], opened)
 
-        with_peer(answering(ok("a"), ok("b")), scenario)
+        with_peer(responding_peer(ok("a"), ok("b")), scenario)
 
-    def test_an_answer_in_excess_is_never_taken_for_the_next(self) -> None:
+    def test_trailing_response_is_not_used_for_next_request(self) -> None:
         async def scenario(address: tuple[str, int]) -> None:
             connection = await SamplerConnection.open(address)
             self.assertEqual(AttemptOutcome.ANSWERED, await self._attempt(connection, "a"))
             self.assertFalse(connection.usable)
 
-        with_peer(answering(ok("a") + ok("a")), scenario)
+        with_peer(responding_peer(ok("a") + ok("a")), scenario)
 
-    def test_a_late_answer_in_the_place_of_the_next_is_told_by_its_id(self) -> None:
+    def test_response_with_another_request_id_is_rejected(self) -> None:
         async def scenario(address: tuple[str, int]) -> None:
             connection = await SamplerConnection.open(address)
             self.assertEqual(AttemptOutcome.BROKEN, await self._attempt(connection, "b"))
             self.assertFalse(connection.usable)
 
-        with_peer(answering(ok("a")), scenario)
+        with_peer(responding_peer(ok("a")), scenario)
 
-    def test_broken_answers_are_no_answers(self) -> None:
-        for answer in (ok("a", b"long")[:-2], b"garbage", b""):
+    def test_invalid_or_truncated_responses_are_rejected(self) -> None:
+        for response in (ok("a", b"long")[:-2], b"garbage", b""):
 
             async def scenario(address: tuple[str, int]) -> None:
                 connection = await SamplerConnection.open(address)
                 self.assertEqual(AttemptOutcome.BROKEN, await self._attempt(connection, "a"))
                 self.assertFalse(connection.usable)
 
-            with_peer(answering(answer, then_close=True), scenario)
+            with_peer(responding_peer(response, then_close=True), scenario)
 
-    def test_promises_of_a_sampler(self) -> None:
+    def test_refused_and_misdirected_requests(self) -> None:
         refused = f"HTTP/1.1 503 No\r\n{NAMES.not_run}: 1\r\nContent-Length: 0\r\n\r\n"
         other = "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"
-        for answer, expected in (
+        for response, expected in (
             (refused, AttemptOutcome.REFUSED),
             (other, AttemptOutcome.MISDIRECTED),
         ):
@@ -224,16 +224,16 @@
                 connection = await SamplerConnection.open(address)
                 self.assertEqual(expected, await self._attempt(connection, "a"))  # noqa: B023
 
-            with_peer(answering(answer.encode()), scenario)
+            with_peer(responding_peer(response.encode()), scenario)
 
-    def test_a_connection_that_the_peer_will_close_is_not_used_again(self) -> None:
+    def test_connection_is_not_reused_after_connection_close(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
         async def scenario(address: tuple[str, int]) -> None:
             connection = await SamplerConnection.open(address)
-            answer = WholeAnswer()
-            connection.exchange(b"x", answer)
-            self.assertEqual(ExchangeEnd.COMPLETE, await answer.done)
+            response = WholeAnswer()
+            connection.exchange(b"x", response)
+            self.assertEqual(ExchangeEnd.COMPLETE, await response.done)
             self.assertFalse(connection.usable)
 
-        with_peer(answering(head), scenario)
+        with_peer(responding_peer(head), scenario)
