--- a/stileloom/http/__init__.py
+++ b/stileloom/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP for callers, trainers and operators."""
+"""HTTP API for clients, trainers and operators."""
--- a/stileloom/http/application.py
+++ b/stileloom/http/application.py
@@ -1,4 +1,4 @@
-"""The paths of the HTTP interface."""
+"""URL routes of the HTTP API."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 def make_application(shell: Shell, settings: NodeSettings) -> Application:
-    """The interface of one node."""
-    shared = {"shell": shell, "node_settings": settings}
+    """Creates the HTTP application of a node."""
+    handler_arguments = {"shell": shell, "node_settings": settings}
     routes = [
-        (r"/v1/completions", lookups.CompletionHandler, shared),
-        (r"/v1/services/([^/]+)/lookup", lookups.LookupHandler, shared),
-        (r"/v1/rounds/([^/]+)/prompts", rounds.PromptsHandler, shared),
-        (r"/v1/rounds/([^/]+)/deliveries", rounds.DeliveriesHandler, shared),
-        (r"/v1/rounds/([^/]+)/acknowledgements", rounds.AcknowledgementsHandler, shared),
-        (r"/v1/rounds/([^/]+)/versions", rounds.VersionsHandler, shared),
-        (r"/v1/objects", objects.ObjectsHandler, shared),
-        (r"/v1/objects/([^/]+)/([^/]+)", objects.ObjectHandler, shared),
-        (r"/v1/status", operations.StatusHandler, shared),
-        (r"/v1/explain", operations.ExplainHandler, shared),
-        (r"/v1/drain", operations.DrainHandler, shared),
-        (r"/v1/samplers/([^/]+)/drain", operations.DrainHandler, shared),
-        (r"/healthz", operations.HealthHandler, shared),
-        (r"/readyz", operations.ReadyHandler, shared),
-        (r"/metrics", operations.MetricsHandler, shared),
+        (r"/v1/completions", lookups.CompletionHandler, handler_arguments),
+        (r"/v1/services/([^/]+)/lookup", lookups.LookupHandler, handler_arguments),
+        (r"/v1/rounds/([^/]+)/prompts", rounds.PromptsHandler, handler_arguments),
+        (r"/v1/rounds/([^/]+)/deliveries", rounds.DeliveriesHandler, handler_arguments),
+        (r"/v1/rounds/([^/]+)/acknowledgements", rounds.AcknowledgementsHandler, handler_arguments),
+        (r"/v1/rounds/([^/]+)/versions", rounds.VersionsHandler, handler_arguments),
+        (r"/v1/objects", objects.ObjectsHandler, handler_arguments),
+        (r"/v1/objects/([^/]+)/([^/]+)", objects.ObjectHandler, handler_arguments),
+        (r"/v1/status", operations.StatusHandler, handler_arguments),
+        (r"/v1/explain", operations.ExplainHandler, handler_arguments),
+        (r"/v1/drain", operations.DrainHandler, handler_arguments),
+        (r"/v1/samplers/([^/]+)/drain", operations.DrainHandler, handler_arguments),
+        (r"/healthz", operations.HealthHandler, handler_arguments),
+        (r"/readyz", operations.ReadyHandler, handler_arguments),
+        (r"/metrics", operations.MetricsHandler, handler_arguments),
     ]
     return Application(
         routes,
         default_handler_class=NotFoundHandler,
-        default_handler_args=shared,
+        default_handler_args=handler_arguments,
         log_function=lambda handler: None,
     )
--- a/stileloom/http/lookups.py
+++ b/stileloom/http/lookups.py
@@ -1,4 +1,4 @@
-"""Callers: completions in the OpenAI style, and lookups."""
+"""Client endpoints: lookups, and completions in the style of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     query: str
     max_tokens: MaxTokens | None = None
     prefix_key: str = ""
-    """Lookups with the same key share a prompt prefix."""
+    """Identifies a shared prompt prefix."""
 
 
 class CompletionBody(msgspec.Struct):
-    """Body of `POST /v1/completions`; fields that are not known here are ignored."""
+    """Body of `POST /v1/completions`; unknown fields are ignored."""
 
     model: str
     """Name of the service."""
@@ -38,7 +38,7 @@
 
 
 class LookupResult(msgspec.Struct):
-    """Answer to a lookup."""
+    """Response to a lookup."""
 
     request_id: str
     outcome: str
@@ -48,11 +48,11 @@
     weight_versions: list[int]
     revision: int
     revision_age_s: float
-    """How long the configuration lease had lapsed; 0 while it holds."""
+    """Time since the configuration lease expired; 0 while it is valid."""
 
 
 class CompletionChoice(msgspec.Struct):
-    """The one choice of a completion. Tokens are numbers: the service holds no tokenizer."""
+    """The only choice of a completion. `text` lists token ids, as there is no tokenizer."""
 
     index: int
     tokens: list[int]
@@ -67,7 +67,7 @@
 
 
 class CompletionResult(msgspec.Struct):
-    """A completion, or one event of a streamed one; only the last has `usage`."""
+    """A completion or an event of a streamed completion; only the last event has `usage`."""
 
     id: str
     object: str
@@ -78,29 +78,32 @@
     weight_versions: list[int] | None = None
 
 
-class CallHandler(ApiHandler):
-    """What both kinds of calls share."""
+class BaseLookupHandler(ApiHandler):
+    """Base of the lookup and completion handlers."""
 
     def prepare(self) -> None:
-        """Draws the request's id."""
+        """Generates the request id."""
         super().prepare()
         self.request_id = f"{self.shell.core.node_id}/{uuid.uuid4().hex}"
 
     def on_connection_close(self) -> None:
-        """The caller went away: what runs for it is cancelled."""
+        """Cancels the lookup when the client disconnects."""
         if hasattr(self, "request_id"):
             shell = self.shell
             shell.run(shell.core.cancel_lookup(shell.now(), self.request_id))
 
-    def make_request(
+    def build_request(
         self, service: str, prompt: str, max_tokens: int | None, prefix_key: str, stream: bool
     ) -> LookupRequest:
-        """The checked request. Raises `StileloomError` (BAD_REQUEST, DEADLINE_PASSED)."""
+        """Validates the headers and builds the request.
+
+        Raises `StileloomError` (BAD_REQUEST, DEADLINE_PASSED).
+        """
         headers = self.request.headers
         key = headers.get("Idempotency-Key", "")
         configuration = self.shell.core.configuration.store.configuration
-        known = configuration.services.get(service) if configuration is not None else None
-        default = known.default_max_tokens if known is not None else 1
+        known_service = configuration.services.get(service) if configuration is not None else None
+        default = known_service.default_max_tokens if known_service is not None else 1
         return LookupRequest(
             request_id=self.request_id,
             service=service,
@@ -109,7 +112,7 @@
             tenant=headers.get("X-Tenant", "anonymous"),
             priority=self._priority(),
             repeatable=self._repeatable(),
-            deadline_at=self.shell.now() + self._time_left_s(),
+            deadline_at=self.shell.now() + self._remaining_s(),
             idempotency_key=key,
             body_digest=xxhash.xxh3_64_intdigest(f"{service}\x00{prompt}\x00{max_tokens}".encode())
             >> 1,
@@ -129,46 +132,46 @@
             raise StileloomError(ErrorKind.BAD_REQUEST, "X-Repeatable: expected true or false")
         return text == "true"
 
-    def _time_left_s(self) -> float:
+    def _remaining_s(self) -> float:
         text = self.request.headers.get("X-Deadline-Ms")
         if text is None:
             return constants.DEFAULT_DEADLINE_S
         try:
-            left_s = float(text) / 1000.0
+            remaining_s = float(text) / 1000.0
         except ValueError as error:
             raise StileloomError(ErrorKind.BAD_REQUEST, "X-Deadline-Ms: not a number") from error
-        if not left_s > 0:
+        if not remaining_s > 0:
             raise StileloomError(ErrorKind.DEADLINE_PASSED, "X-Deadline-Ms is not positive")
-        return left_s
+        return remaining_s
 
     async def run_lookup(self, request: LookupRequest) -> LookupAnswer:
-        """Runs a request to its final answer. Raises `StileloomError`."""
+        """Submits a request and waits for its final result. Raises `StileloomError`."""
         shell = self.shell
         waiter = shell.waiters.expect_lookup(request.request_id)
         shell.run(shell.core.submit_lookup(shell.now(), request))
         while True:
             event = await waiter.events.get()
             if isinstance(event, TokensReady):
-                self.take_tokens(event)
+                self.on_tokens(event)
                 continue
             if event.error is not None:
                 raise event.error
             return event
 
-    def take_tokens(self, event: TokensReady) -> None:
-        """Tokens of a streamed request; others have them in their answer."""
+    def on_tokens(self, event: TokensReady) -> None:
+        """Called for each group of tokens; ignored unless the response is streamed."""
 
 
-class LookupHandler(CallHandler):
+class LookupHandler(BaseLookupHandler):
     """`POST /v1/services/{service}/lookup`."""
 
     async def post(self, service: str) -> None:
         """Runs one lookup."""
-        body = self.body_as(LookupBody)
-        request = self.make_request(service, body.query, body.max_tokens, body.prefix_key, False)
+        body = self.parse_body(LookupBody)
+        request = self.build_request(service, body.query, body.max_tokens, body.prefix_key, False)
         answer = await self.run_lookup(request)
         self.set_header("X-Outcome", answer.outcome.value)
-        self.answer(
+        self.send_json(
             LookupResult(
                 request_id=answer.request_id,
                 outcome=answer.outcome.value,
@@ -182,21 +185,21 @@
         )
 
 
-class CompletionHandler(CallHandler):
+class CompletionHandler(BaseLookupHandler):
     """`POST /v1/completions`."""
 
     async def post(self) -> None:
-        """Runs one completion, streamed or whole."""
-        body = self.body_as(CompletionBody)
+        """Runs one completion and streams its tokens if requested."""
+        body = self.parse_body(CompletionBody)
         self._model = body.model
         self._stream_started = False
-        request = self.make_request(body.model, body.prompt, body.max_tokens, "", body.stream)
+        request = self.build_request(body.model, body.prompt, body.max_tokens, "", body.stream)
         try:
             answer = await self.run_lookup(request)
         except StileloomError as error:
             if not self._stream_started:
                 raise
-            # The status line is gone: the error is the last event, without a usage count.
+            # The status line has been sent, so the error is reported as the last event.
             self._write_event(msgspec.json.encode(problem_of(error)))
             await self.finish()
             return
@@ -204,12 +207,12 @@
             self._finish_stream(answer)
             return
         self.set_header("X-Outcome", answer.outcome.value)
-        self.answer(self._result(answer.tokens, answer))
+        self.send_json(self._completion_result(answer.tokens, answer))
 
-    def take_tokens(self, event: TokensReady) -> None:
-        """Passes tokens on as a server-sent event."""
+    def on_tokens(self, event: TokensReady) -> None:
+        """Sends tokens as a server-sent event."""
         self._start_stream()
-        self._write_event(msgspec.json.encode(self._result(event.tokens, None)))
+        self._write_event(msgspec.json.encode(self._completion_result(event.tokens, None)))
 
     def _start_stream(self) -> None:
         if not self._stream_started:
@@ -219,7 +222,7 @@
 
     def _finish_stream(self, answer: LookupAnswer) -> None:
         self._start_stream()
-        self._write_event(msgspec.json.encode(self._result([], answer)))
+        self._write_event(msgspec.json.encode(self._completion_result([], answer)))
         self._write_event(b"[DONE]")
         self.finish()
 
@@ -227,7 +230,9 @@
         self.write(b"data: " + body + b"\n\n")
         self.flush()
 
-    def _result(self, tokens: list[int], answer: LookupAnswer | None) -> CompletionResult:
+    def _completion_result(
+        self, tokens: list[int], answer: LookupAnswer | None
+    ) -> CompletionResult:
         finish_reason = answer.finish_reason if answer is not None else None
         choice = CompletionChoice(0, tokens, " ".join(map(str, tokens)), finish_reason)
         result = CompletionResult(self.request_id, "text_completion", self._model, [choice])
--- a/stileloom/http/metrics.py
+++ b/stileloom/http/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a node. `docs/METRICS.md` is their catalogue; a test compares both."""
+"""Prometheus metrics of a node, documented in `docs/METRICS.md`; a test compares both."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Metric(enum.Enum):
-    """Names of all metrics; the value is the help text."""
+    """Metrics by name; the value is the help text."""
 
     stileloom_members = "Members known to this node, by state"
     stileloom_configuration_revision = "Configuration revision held by this node"
@@ -34,7 +34,7 @@
 
 
 def render_metrics(shell: Shell) -> bytes:
-    """The metrics as they are now."""
+    """Renders the current metrics in the Prometheus text format."""
     registry = CollectorRegistry()
     core = shell.core
     store = core.configuration.store
--- a/stileloom/http/native_dialect.py
+++ b/stileloom/http/native_dialect.py
@@ -1,4 +1,4 @@
-"""The product's own spelling of job calls, objects and orders: JSON of the `api` types."""
+"""Native dialect: job calls, objects and load orders as JSON of the `api` types."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True):
-    """A job as a trainer sends it; item bodies are base64."""
+    """A submitted job; item bodies are base64."""
 
     model: str
     items: list[JobItem]
@@ -44,7 +44,7 @@
 
 
 class SamplerBody(msgspec.Struct, frozen=True):
-    """A sampler's entry in the store."""
+    """A sampler's entry in the object store."""
 
     service: str
     address: str
@@ -56,7 +56,7 @@
 
 
 class RemovalStatus(msgspec.Struct, frozen=True):
-    """How far the emptying of a ledger node is."""
+    """Progress of decommissioning a ledger node."""
 
     finished: bool
 
@@ -68,38 +68,40 @@
     kinds = ObjectKinds()
 
     def job_call(self, method: str, target: str, headers: Mapping[str, str]) -> JobCall | None:
-        """`/v1/jobs/ID`, `/v1/jobs/ID/results` and `/v1/jobs/ID/items/ITEM`."""
+        """Parses `/v1/jobs/ID`, `/v1/jobs/ID/results` and `/v1/jobs/ID/items/ITEM`."""
         path, _, query = target.partition("?")
         if not path.startswith(JOBS_PREFIX):
             return None
-        parts = path[len(JOBS_PREFIX) :].split("/")
-        if method == "DELETE" and len(parts) == 1:
-            return EndJob(parts[0])
-        if method == "GET" and len(parts) == 2 and parts[1] == "results":
-            arguments = parse_qs(query)
-            position = _number(arguments, "position")
-            return ReadResults(parts[0], int(position), _number(arguments, "wait_s"))
-        if method == "GET" and len(parts) == 3 and parts[1] == "items":
-            return ReadItem(parts[0], parts[2])
+        segments = path[len(JOBS_PREFIX) :].split("/")
+        if method == "DELETE" and len(segments) == 1:
+            return EndJob(segments[0])
+        if method == "GET" and len(segments) == 2 and segments[1] == "results":
+            query_arguments = parse_qs(query)
+            position = _number_argument(query_arguments, "position")
+            return ReadResults(
+                segments[0], int(position), _number_argument(query_arguments, "wait_s")
+            )
+        if method == "GET" and len(segments) == 3 and segments[1] == "items":
+            return ReadItem(segments[0], segments[2])
         return None
 
     def decode_job(self, job_id: str, host: str, path: str, body: bytes) -> JobSubmission:
-        """A job's body."""
+        """Implements `Dialect`."""
         job = decode(body, JobBody)
         return JobSubmission(
             job_id, host, path, job.step, job.model, job.min_version, job.desired_groups, job.items
         )
 
     def encode_page(self, page: ResultPage) -> bytes:
-        """A page of results."""
+        """Implements `Dialect`."""
         return msgspec.json.encode(page)
 
     def decode_configuration(self, spec: Any) -> RouteConfiguration:
-        """A configuration object."""
+        """Implements `Dialect`."""
         return convert(spec, RouteConfiguration)
 
     def decode_sampler(self, record: ObjectRecord) -> SamplerEntry:
-        """A sampler's entry."""
+        """Implements `Dialect`."""
         body = convert(record.spec, SamplerBody)
         return SamplerEntry(
             record.name,
@@ -113,28 +115,28 @@
         )
 
     def decode_version(self, spec: Any) -> NamedVersion:
-        """A named version."""
+        """Implements `Dialect`."""
         return convert(spec, NamedVersion)
 
     def report_call(self) -> EngineCall:
-        """Asks for a report."""
+        """Implements `Dialect`."""
         return EngineCall("GET", REPORT_TARGET)
 
     def decode_report(self, body: bytes) -> SamplerReport:
-        """A report."""
+        """Implements `Dialect`."""
         return decode(body, SamplerReport)
 
     def order_call(self, order: LoadOrder) -> EngineCall:
-        """Gives an order."""
+        """Implements `Dialect`."""
         return EngineCall("POST", ORDER_TARGET, msgspec.json.encode(order))
 
     def removal_status(self, finished: bool) -> Any:
-        """The status of a removal."""
+        """Implements `Dialect`."""
         return msgspec.to_builtins(RemovalStatus(finished))
 
 
-def _number(arguments: dict[str, list[str]], name: str) -> float:
-    text = arguments.get(name, ["0"])[0]
+def _number_argument(query_arguments: dict[str, list[str]], name: str) -> float:
+    text = query_arguments.get(name, ["0"])[0]
     try:
         value = float(text)
     except ValueError as error:
--- a/stileloom/http/objects.py
+++ b/stileloom/http/objects.py
@@ -1,4 +1,4 @@
-"""Operators: submit, revise and withdraw objects, by compare-and-swap."""
+"""Operator endpoints: create, update and delete configuration objects by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
     """`GET`, `PUT`, `DELETE /v1/objects/{kind}/{name}`."""
 
     async def get(self, kind: str, name: str) -> None:
-        """One object as it is stored."""
-        self.answer(await self._stored(_kind(kind), name))
+        """Returns the stored object."""
+        self.send_json(await self._get_stored(_parse_kind(kind), name))
 
     async def put(self, kind: str, name: str) -> None:
-        """Submits or revises an object; `If-Match` gives the revision it is based on."""
-        spec = self.body_as(dict)
-        parsed = parse_spec(_kind(kind), spec)
+        """Creates or updates an object; `If-Match` is the revision to replace."""
+        spec = self.parse_body(dict)
+        parsed = parse_spec(_parse_kind(kind), spec)
         if isinstance(parsed, Policy):
             check_policy(name, parsed)
         revision = await self.shell.object_api.write(
-            kind, name, self._expected(), self._change_id(), spec
+            kind, name, self._expected_revision(), self._change_id(), spec
         )
-        self.answer({"kind": kind, "name": name, "revision": revision, "state": "stored"})
+        self.send_json({"kind": kind, "name": name, "revision": revision, "state": "stored"})
 
     async def delete(self, kind: str, name: str) -> None:
-        """Withdraws an object."""
-        _kind(kind)
+        """Deletes an object."""
+        _parse_kind(kind)
         revision = await self.shell.object_api.write(
-            kind, name, self._expected(), self._change_id(), None
+            kind, name, self._expected_revision(), self._change_id(), None
         )
-        self.answer({"kind": kind, "name": name, "revision": revision, "state": "stored"})
+        self.send_json({"kind": kind, "name": name, "revision": revision, "state": "stored"})
 
-    async def _stored(self, kind: ObjectKind, name: str) -> StoredObject:
+    async def _get_stored(self, kind: ObjectKind, name: str) -> StoredObject:
         stored = await self.shell.object_api.get(kind.value, name)
         if stored is None:
             raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"{kind.value} {name!r}")
         return stored
 
-    def _expected(self) -> int | None:
+    def _expected_revision(self) -> int | None:
         text = self.request.headers.get("If-Match")
         if text is None:
             return None
@@ -54,7 +54,7 @@
         return int(text)
 
     def _change_id(self) -> str:
-        """The operator's own id makes a repeat of the same change recognisable."""
+        """Returns the operator's change id, which makes retries idempotent, or a new one."""
         return self.request.headers.get("X-Change-Id", uuid.uuid4().hex)
 
 
@@ -62,13 +62,13 @@
     """`GET /v1/objects`."""
 
     async def get(self) -> None:
-        """All objects that are configuration."""
+        """Lists all configuration objects."""
         listed = await self.shell.object_api.list()
         objects = [stored for stored in listed.objects if stored.kind in OBJECT_KINDS]
-        self.answer({"revision": listed.revision, "objects": objects})
+        self.send_json({"revision": listed.revision, "objects": objects})
 
 
-def _kind(text: str) -> ObjectKind:
+def _parse_kind(text: str) -> ObjectKind:
     if text not in OBJECT_KINDS:
         known = ", ".join(OBJECT_KINDS)
         raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"kind {text!r}, expected one of {known}")
--- a/stileloom/http/operations.py
+++ b/stileloom/http/operations.py
@@ -1,4 +1,4 @@
-"""Operators: status, explain, drain; and probes and metrics for their monitoring."""
+"""Operator endpoints: status, explain, drain, health probes and metrics."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from stileloom.rollout.messages import LeaderStatus
 from stileloom.routing import LookupRequest
 
-STATUS_WAIT_S = 1.5
-STATUS_TRIES = 3
+STATUS_TIMEOUT_S = 1.5
+STATUS_ATTEMPTS = 3
 
 
 class NodeStatus(msgspec.Struct):
-    """One node as the answering node's membership sees it."""
+    """A node in the membership view of the responding node."""
 
     node_id: str
     zone: str
@@ -30,7 +30,7 @@
 
 
 class Status(msgspec.Struct):
-    """Answer of `GET /v1/status`."""
+    """Response of `GET /v1/status`."""
 
     node_id: str
     zone: str
@@ -41,7 +41,7 @@
     lease_valid: bool
     nodes: list[NodeStatus]
     leader: LeaderStatus | None
-    """The leader's part; None where no leader answered."""
+    """Status from the leader; None if no leader responded."""
 
 
 class ExplainBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -59,11 +59,11 @@
     """`GET /v1/status`."""
 
     async def get(self) -> None:
-        """The whole system as far as this node can learn it."""
+        """Returns the state of this node, its membership view and the leader's status."""
         core = self.shell.core
         store = core.configuration.store
         now = self.shell.now()
-        self.answer(
+        self.send_json(
             Status(
                 node_id=core.node_id,
                 zone=core.zone,
@@ -79,12 +79,12 @@
 
     async def _leader_status(self) -> LeaderStatus | None:
         shell = self.shell
-        for _ in range(STATUS_TRIES):
+        for _ in range(STATUS_ATTEMPTS):
             ticket = shell.waiters.next_ticket()
             future = shell.waiters.expect_status(ticket)
             shell.run(shell.core.ask_status(shell.now(), ticket))
             try:
-                async with asyncio.timeout(STATUS_WAIT_S / STATUS_TRIES):
+                async with asyncio.timeout(STATUS_TIMEOUT_S / STATUS_ATTEMPTS):
                     return await future
             except TimeoutError:
                 continue
@@ -101,8 +101,8 @@
     """`POST /v1/explain`."""
 
     async def post(self) -> None:
-        """Why a request would go where, rule by rule."""
-        body = self.body_as(ExplainBody)
+        """Explains the routing decision for a request without running it."""
+        body = self.parse_body(ExplainBody)
         now = self.shell.now()
         request = LookupRequest(
             request_id=f"explain/{uuid.uuid4().hex}",
@@ -115,49 +115,49 @@
             deadline_at=now + constants.DEFAULT_DEADLINE_S,
             prefix_key=body.prefix_key,
         )
-        self.answer(self.shell.core.explain(now, request))
+        self.send_json(self.shell.core.explain(now, request))
 
 
 class DrainHandler(ApiHandler):
     """`POST /v1/drain` (this node) and `POST /v1/samplers/{id}/drain`."""
 
     async def post(self, sampler_id: str | None = None) -> None:
-        """Starts a drain; it sticks."""
+        """Starts a drain, which cannot be undone."""
         shell = self.shell
         if sampler_id is None:
             shell.on_drain_request()
-            self.answer({"draining": shell.core.node_id}, status=202)
+            self.send_json({"draining": shell.core.node_id}, status=202)
             return
         if shell.core.table.get(sampler_id) is None:
             raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"sampler {sampler_id!r}")
         shell.run(shell.core.drain_sampler(shell.now(), sampler_id))
-        self.answer({"draining": sampler_id}, status=202)
+        self.send_json({"draining": sampler_id}, status=202)
 
 
 class HealthHandler(ApiHandler):
-    """`GET /healthz`: the process runs."""
+    """`GET /healthz`: liveness probe."""
 
     async def get(self) -> None:
-        """Always well while it can answer."""
-        self.answer({"status": "ok"})
+        """Always succeeds."""
+        self.send_json({"status": "ok"})
 
 
 class ReadyHandler(ApiHandler):
-    """`GET /readyz`: the node may be given callers' requests."""
+    """`GET /readyz`: readiness probe."""
 
     async def get(self) -> None:
-        """Raises NOT_READY or DRAINING otherwise."""
+        """Raises `StileloomError` (NOT_READY, DRAINING)."""
         if self.shell.core.draining:
             raise StileloomError(ErrorKind.DRAINING, "this node is draining")
         if not self.shell.core.ready:
             raise StileloomError(ErrorKind.NOT_READY, "no configuration learned yet")
-        self.answer({"status": "ready"})
+        self.send_json({"status": "ready"})
 
 
 class MetricsHandler(ApiHandler):
-    """`GET /metrics` in Prometheus text."""
+    """`GET /metrics` in the Prometheus text format."""
 
     async def get(self) -> None:
-        """All metrics of this node."""
+        """Returns all metrics of this node."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.finish(render_metrics(self.shell))
