--- a/stileloom/api/__init__.py
+++ b/stileloom/api/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts: the shapes that callers, trainers, operators and back ends see."""
+"""Data types and interfaces shared with clients, trainers, operators and back ends."""
--- a/stileloom/api/dialect.py
+++ b/stileloom/api/dialect.py
@@ -1,7 +1,7 @@
-"""The port through which a deployment's spelling of calls and objects is translated.
+"""Interface of dialects, which translate a platform's calls and objects to and from `api` types.
 
-A dialect only translates: it decides nothing, keeps nothing and repeats nothing. The product
-brings its own (`stileloom.http.native_dialect`); an adapter for a platform brings another.
+A dialect is stateless and does not retry. `stileloom.http.native_dialect` is the default; an
+adapter for a platform provides another.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class ObjectKinds(msgspec.Struct, frozen=True):
-    """Names of the kinds of objects that are read from the store."""
+    """Names of the object kinds that are read from the object store."""
 
     configuration: str = "configuration"
     configuration_name: str = "main"
     samplers: str = "samplers"
     versions: str = "versions"
     removals: str = "removals"
-    """Requests that a ledger node be emptied."""
+    """Requests to decommission a ledger node."""
     ledger_nodes: str = "ledger-nodes"
     voter_set: str = "voter-set"
 
 
 class LoadStrategy(enum.Enum):
-    """What happens to generations under way when weights change."""
+    """How running generations are handled when weights change."""
 
     WAIT = "wait"
     RETAIN = "retain"
 
 
 class LoadOrder(msgspec.Struct, frozen=True):
-    """An order to a sampler to load a version of a model's weights."""
+    """A command to a sampler to load a version of a model's weights."""
 
     model: str
     version: int
@@ -47,11 +47,11 @@
     holder: str
     fence: int
     expected_orders: int
-    """Orders the sampler has taken so far; it refuses if another came in between."""
+    """Number of load orders accepted so far; the sampler rejects the order if it differs."""
 
 
 class SamplerReport(msgspec.Struct, frozen=True):
-    """What a sampler says of itself."""
+    """Status reported by a sampler."""
 
     model_versions: dict[str, int]
     busy: bool
@@ -59,7 +59,7 @@
 
 
 class EngineCall(msgspec.Struct, frozen=True):
-    """A call to a sampler's control side."""
+    """An HTTP request to a sampler's control interface."""
 
     method: str
     target: str
@@ -67,18 +67,18 @@
 
 
 class NamedVersion(msgspec.Struct, frozen=True):
-    """The newest version that a trainer has named for a model."""
+    """The latest version that a trainer has published for a model."""
 
     model: str
     version: int
 
 
 class SubmitJob(msgspec.Struct, frozen=True):
-    """A caller submits a job; its body is decoded by `Dialect.decode_job`."""
+    """Submits a job; its body is decoded by `Dialect.decode_job`."""
 
 
 class ReadResults(msgspec.Struct, frozen=True):
-    """A caller reads results."""
+    """Reads results of a job."""
 
     job_id: str
     position: int
@@ -86,14 +86,14 @@
 
 
 class ReadItem(msgspec.Struct, frozen=True):
-    """A caller reads the body of an item."""
+    """Reads the body of an item."""
 
     job_id: str
     item_id: str
 
 
 class EndJob(msgspec.Struct, frozen=True):
-    """A caller ends a job."""
+    """Ends a job."""
 
     job_id: str
 
@@ -102,37 +102,40 @@
 
 
 class Dialect(Protocol):
-    """Translates between a deployment and the product's own types."""
+    """Translates between a platform's formats and `api` types."""
 
     names: HeaderNames
     kinds: ObjectKinds
 
     def job_call(self, method: str, target: str, headers: Any) -> JobCall | None:
-        """The job call that a request is, or None. Raises `StileloomError` (BAD_REQUEST)."""
+        """Parses a request about a job; returns None for any other request.
+
+        Raises `StileloomError` (BAD_REQUEST).
+        """
 
     def decode_job(self, job_id: str, host: str, path: str, body: bytes) -> JobSubmission:
-        """A job's body. Raises `StileloomError` (BAD_REQUEST)."""
+        """Decodes a job submission. Raises `StileloomError` (BAD_REQUEST)."""
 
     def encode_page(self, page: ResultPage) -> bytes:
-        """The body of an answer with results."""
+        """Encodes a response body with results."""
 
     def decode_configuration(self, spec: Any) -> RouteConfiguration:
-        """A configuration object. Raises `StileloomError` (OBJECT_INVALID)."""
+        """Decodes a configuration object. Raises `StileloomError` (OBJECT_INVALID)."""
 
     def decode_sampler(self, record: ObjectRecord) -> SamplerEntry:
-        """An entry of the directory. Raises `StileloomError` (OBJECT_INVALID)."""
+        """Decodes a sampler directory entry. Raises `StileloomError` (OBJECT_INVALID)."""
 
     def decode_version(self, spec: Any) -> NamedVersion:
-        """A named version. Raises `StileloomError` (OBJECT_INVALID)."""
+        """Decodes a published version. Raises `StileloomError` (OBJECT_INVALID)."""
 
     def report_call(self) -> EngineCall:
-        """The call that asks a sampler for its report."""
+        """Returns the request for a sampler's report."""
 
     def decode_report(self, body: bytes) -> SamplerReport:
-        """A sampler's report. Raises `StileloomError` (BAD_REQUEST)."""
+        """Decodes a sampler's report. Raises `StileloomError` (BAD_REQUEST)."""
 
     def order_call(self, order: LoadOrder) -> EngineCall:
-        """The call that gives an order."""
+        """Encodes a load order as a request."""
 
     def removal_status(self, finished: bool) -> Any:
-        """The status of a request that a ledger node be emptied."""
+        """Returns the status of a request to decommission a ledger node."""
--- a/stileloom/api/headers.py
+++ b/stileloom/api/headers.py
@@ -1,7 +1,7 @@
-"""Names of the HTTP headers that callers, gateways and samplers exchange.
+"""Names of the HTTP headers exchanged by clients, gateways and samplers.
 
-The defaults are this product's own names. An adapter for a platform that spells them
-otherwise hands in a struct of its own; no other code knows a header by its name.
+An adapter for a platform with other names provides its own `HeaderNames`; other code must not
+contain these names.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """One name for each header with a meaning to this product."""
+    """Header names by purpose; the defaults are those of the native dialect."""
 
     request_id: str = "Stileloom-Request-Id"
     deadline_ms: str = "Stileloom-Deadline-Ms"
     expect_sampler: str = "Stileloom-Expect-Sampler"
     not_run: str = "Stileloom-Not-Run"
-    """A sampler's promise that the request has not run."""
+    """Set by a sampler to guarantee that the request was not executed."""
     signature: str = "Stileloom-Signature"
     load: str = "Stileloom-Load"
     last_event_id: str = "Last-Event-Id"
--- a/stileloom/api/jobs.py
+++ b/stileloom/api/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: many requests that are submitted at once and run later."""
+"""Data types of batch jobs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RewardCall(msgspec.Struct, frozen=True, array_like=True):
-    """A request that scores the whole text of an item; its 2xx answer carries the score."""
+    """A request that scores the complete text of an item; a 2xx response contains the score."""
 
     request_id: str
     host: str
@@ -24,13 +24,13 @@
     headers: dict[str, str]
     body: bytes
     group: str
-    """Items of a group share their prompt; empty where there is none."""
+    """Items of a group share their prompt; empty if the item has no group."""
     reward: RewardCall | None = None
-    """Asked once the text is whole; the item succeeds only with its score."""
+    """Called once the text is complete; the item succeeds only with a score."""
 
 
 class JobSubmission(msgspec.Struct, frozen=True):
-    """A job as its trainer sends it."""
+    """A job as submitted by a trainer."""
 
     job_id: str
     host: str
@@ -38,58 +38,58 @@
     step: int
     model: str
     min_version: int
-    """Oldest version of the weights that may make its tokens."""
+    """Oldest weight version that may generate its tokens."""
     desired_groups: int
     items: list[JobItem]
 
 
 class ItemState(enum.Enum):
-    """How an item ended."""
+    """Final state of an item."""
 
     SUCCEEDED = "succeeded"
     GIVEN_UP = "given_up"
 
 
 class ItemResult(msgspec.Struct, frozen=True, array_like=True):
-    """The result of an item; its position in the job never changes."""
+    """The result of an item; its position in the job is immutable."""
 
     item_id: str
     state: ItemState
     text: str
     versions: list[int]
     score: str = ""
-    """Signature of the reward call's answer; empty where the item has no reward."""
+    """Signature from the reward call's response; empty if the item has no reward call."""
 
 
 class FinishedItem(msgspec.Struct, frozen=True, array_like=True):
-    """The end of an item, on top of the events that were saved before."""
+    """Completion of an item, relative to its previously saved events."""
 
     item_id: str
     state: ItemState
     saved_parts: int
-    """How many saved events the text begins with."""
+    """Number of saved events at the start of the text."""
     parts: list[str]
-    """The events after those."""
+    """The remaining events."""
     versions: list[int]
     score: str = ""
 
 
 class ItemProgress(msgspec.Struct, frozen=True, array_like=True):
-    """Events of an item that were made after those saved before."""
+    """Incremental progress of an item: events to append to those already saved."""
 
     item_id: str
     first_part: int
-    """How many saved events they follow; what was saved beyond those is replaced."""
+    """Index of the first event of `parts`; saved events from there on are replaced."""
     parts: list[str]
     last_event_id: int
     versions: list[int]
-    """Versions of all events so far, in the order of their first event."""
+    """Weight versions of all events so far, in order of first use."""
     whole: bool = False
-    """Whether these events end the text."""
+    """Whether the text is complete."""
 
 
 class ResultPage(msgspec.Struct, frozen=True):
-    """Results from a position on."""
+    """A page of results, starting at the requested position."""
 
     total_items: int
     next_position: int
--- a/stileloom/api/objects.py
+++ b/stileloom/api/objects.py
@@ -1,4 +1,4 @@
-"""Contracts of the configuration: the objects that operators create, revise and withdraw."""
+"""Configuration objects, which operators create, update and delete."""
 
 from __future__ import annotations
 
@@ -10,59 +10,58 @@
 
 
 class SamplerRole(enum.Enum):
-    """What a sampler works for at the moment."""
+    """The kind of work a sampler currently does."""
 
     LOOKUP = "lookup"
     ROLLOUT = "rollout"
 
 
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A named set of samplers; the machine list says which sampler belongs to which pool."""
+    """A named set of samplers; the machine list assigns samplers to pools."""
 
     home_role: SamplerRole
-    """What the pool's samplers do unless they are lent."""
+    """Role of the pool's samplers unless they are lent."""
     model: str
-    """Model that its samplers hold in their home role."""
+    """Model that its samplers load in their home role."""
     model_version: int = 1
     """Version for the home role `lookup`; a rollout pool follows its round."""
     lend_to_rounds: bool = False
-    """Whether idle lookup samplers may work for rounds while demand is low."""
+    """Whether lookup samplers may be lent to rounds while demand is low."""
     keep_home: int = 1
-    """Samplers that are never lent."""
+    """Minimum number of samplers that are not lent."""
     lend_below: float = 1.0
-    """Lookups under way by home sampler, counted after lending, under which one more is lent."""
+    """Lends a sampler if, after lending, lookups in progress per home sampler are below this."""
     return_above: float = 2.0
-    """Lookups under way by home sampler over which a lent one goes home."""
+    """Returns a lent sampler if lookups in progress per home sampler exceed this."""
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A public lookup service over one pool."""
+    """A public lookup service backed by one pool."""
 
     pool: str
     serve_when_cut_off: bool = True
-    """Whether lookups are answered with a lapsed configuration lease (and marked so)."""
+    """Whether lookups are served (and marked) after the configuration lease has expired."""
     queue_limit: int = 64
-    """Requests that may wait at one gateway."""
+    """Maximum number of queued requests per gateway."""
     concurrency_per_sampler: int = 16
-    """Requests that one gateway may have under way on one sampler."""
+    """Maximum number of concurrent requests from one gateway to one sampler."""
     tenant_requests_per_s: float = 200.0
-    """Rate limit for each tenant at each gateway; bursts up to two seconds' worth."""
+    """Rate limit per tenant and gateway; allows bursts of two seconds' worth of requests."""
     default_max_tokens: int = 32
 
 
 class Round(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A training round: who generates for it, and how old its samples may be."""
+    """A training round: its samplers, ordering and staleness limits."""
 
     pool: str
     model: str
     samples_per_step: int
     staleness_bound: int
-    """Versions by which a sample may lag behind the current one at its hand-over."""
+    """Maximum number of versions by which a sample may be stale when it is delivered."""
     reorder_window_steps: int = 1
-    """Steps by which a sample may be handed over later than its place in the order of prompts.
+    """Maximum number of steps by which a sample may be delivered after its place in prompt order.
 
-    0: each step holds exactly its own prompts. It bounds how long a long sample can be put off,
-    and with it the bias towards short ones.
+    With 0, each step contains exactly its own prompts. Limits the bias towards short samples.
     """
     borrow_from: list[str] = msgspec.field(default_factory=list)
     """Pools whose lent samplers may work for this round."""
@@ -71,27 +70,27 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An operator's rules in CEL; an empty rule says nothing. See docs/POLICIES.md."""
+    """An operator's rules in CEL; empty rules have no effect. See docs/POLICIES.md."""
 
     applies_to: list[str] = msgspec.field(default_factory=list)
     """Names of services and rounds; empty means all."""
     priority: str = ""
-    """Integer 0..100 for a request or a prompt; a higher one goes first."""
+    """Integer 0..100 for a request or a prompt; higher values are served first."""
     freshness: str = ""
-    """Integer: staleness bound in versions; it can only tighten the round's own."""
+    """Integer: staleness bound in versions; can only lower the round's bound."""
     placement: str = ""
-    """Bool: whether a pool in a zone may take the work."""
+    """Bool: whether a pool in a zone may be used for a request or a prompt."""
     time_zone: str = "UTC"
-    """Time zone in which the rules see `time`."""
+    """Time zone of `time` in the rules."""
     rank: int = 0
-    """Among policies that set the same rule, the highest rank wins, then the name."""
+    """If several policies set the same rule, the highest rank takes precedence, then the name."""
 
 
 Spec = Pool | Service | Round | Policy
 
 
 class ObjectKind(enum.Enum):
-    """Kinds of objects; the value stands in paths and files."""
+    """Kinds of objects; the values are used in URL paths and files."""
 
     POOL = "pool"
     SERVICE = "service"
@@ -108,19 +107,19 @@
 
 
 class ObjectRecord(msgspec.Struct, frozen=True):
-    """An object as the object API keeps it."""
+    """An object as stored by the object API."""
 
     kind: ObjectKind
     name: str
     revision: int
-    """Revision of the whole store at which this object last changed."""
+    """Store revision at which this object last changed."""
     change_id: str
-    """Chosen by the writer, so that a lost answer is settled by reading back."""
+    """Chosen by the writer, to identify its write when reading back after a lost response."""
     spec: msgspec.Raw | dict[str, object]
 
 
 class ObjectManifest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An object as an operator writes it in a file."""
+    """An object in an operator's manifest file."""
 
     kind: ObjectKind
     name: str
@@ -137,7 +136,7 @@
     policies: dict[str, Policy] = msgspec.field(default_factory=dict)
 
     def with_object(self, kind: ObjectKind, name: str, spec: Spec | None) -> Configuration:
-        """A copy with one object set, or removed where `spec` is None."""
+        """Returns a copy with one object replaced, or removed if `spec` is None."""
         field = {
             ObjectKind.POOL: "pools",
             ObjectKind.SERVICE: "services",
@@ -153,9 +152,9 @@
 
 
 def parse_spec(kind: ObjectKind, spec: object) -> Spec:
-    """The typed spec of an object.
+    """Parses the spec of an object.
 
-    Raises `StileloomError` of kind OBJECT_INVALID that names the path of the fault.
+    Raises `StileloomError` (OBJECT_INVALID) with the path of the invalid value.
     """
     try:
         return msgspec.convert(spec, SPEC_TYPES[kind])
--- a/stileloom/api/routes.py
+++ b/stileloom/api/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which requests go to which service, and within which limits."""
+"""Routes: mapping of requests to services, and their limits."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class RouteKind(enum.Enum):
-    """How requests of a route may be treated."""
+    """Execution semantics of a route's requests."""
 
     SAFE = "safe"
-    """May run more than once."""
+    """May be executed more than once."""
     UNSAFE = "unsafe"
-    """At most one run for each attempt of the caller."""
+    """Executed at most once per attempt of the client."""
     STREAMING = "streaming"
-    """Answered by events; unsafe unless resumable."""
+    """The response is an event stream; treated as unsafe unless resumable."""
     BATCH = "batch"
-    """Takes batch jobs whose items run later."""
+    """Accepts batch jobs, whose items run asynchronously."""
 
 
 class Backend(msgspec.Struct, frozen=True):
@@ -42,19 +42,19 @@
     resumable: bool = False
     single_version: bool = False
     max_wait_s: float = 60.0
-    """Batch: time after a job's arrival at which an item may be given up."""
+    """Batch: time after a job's submission from which its items may be given up."""
     job_deadline_s: float = 60.0
-    """Batch: time after a job's arrival by which all results are due."""
+    """Batch: time after a job's submission by which all results must be available."""
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What the samplers of a service can hold."""
+    """Capacity of the samplers of a service."""
 
     slots: int
     cache_tokens: int
     models: list[str]
     tokens_per_event: float = 1.0
-    """Tokens that one event of a stream carries."""
+    """Tokens per stream event."""
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
 
 
 class IngressLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send. Times are seconds."""
+    """Limits on client requests. Times are seconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 33_554_432
@@ -74,7 +74,7 @@
 
 
 class RouteConfiguration(msgspec.Struct, frozen=True):
-    """All routes and services of one version."""
+    """All routes and services of one configuration version."""
 
     version: int
     routes: list[Route]
--- a/stileloom/api/sampler_directory.py
+++ b/stileloom/api/sampler_directory.py
@@ -1,4 +1,4 @@
-"""The directory of samplers: who serves what, where, and in which state."""
+"""Entries of the sampler directory."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SamplerEntry(msgspec.Struct, frozen=True):
-    """One incarnation of a sampler, as the directory lists it."""
+    """A sampler process as listed in the directory."""
 
     sampler_id: str
     service: str
@@ -15,11 +15,11 @@
     slots: int
     draining: bool
     model_versions: dict[str, int]
-    """Version of each model's weights, as old as the listing."""
+    """Weight version of each model at the time of the listing."""
     born_ms: int = 0
-    """Unix milliseconds of its start; 0 where its directory does not tell."""
+    """Start time in Unix milliseconds; 0 if the directory does not provide it."""
 
     @property
     def incarnation(self) -> str:
-        """Tells a process from the one that had the same id before."""
+        """Distinguishes processes that successively use the same sampler id."""
         return f"{self.sampler_id}/{self.born_ms}" if self.born_ms else self.sampler_id
