--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Bad input over real HTTP: each a problem document with its code and outcome."""
+"""Invalid requests to the HTTP API: problem documents with code and outcome."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def settings() -> NodeSettings:
-    """Settings with a small limit; nothing listens at the platform's addresses."""
+    """Settings with a small body limit and platform addresses on which nothing listens."""
     return NodeSettings(
         node_id="n",
         zone="a",
@@ -39,7 +39,7 @@
 
 
 class BadInputTest(tornado.testing.AsyncHTTPTestCase):
-    """One node without neighbours that has learned a configuration."""
+    """A single node with a configuration, without reachable samplers."""
 
     def get_app(self) -> Application:
         configure_logs("error")
@@ -64,14 +64,14 @@
     def send(
         self, path: str, body: bytes | None = b"{}", method: str = "POST", **headers: str
     ) -> HTTPResponse:
-        """One request."""
+        """Sends one request."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         return self.fetch(path, method=method, body=body, headers=named, raise_error=False)
 
     def assert_problem(
         self, response: HTTPResponse, status: int, code: str, outcome: str = "not_run"
     ) -> dict[str, Any]:
-        """A problem document with this code."""
+        """Asserts that the response is a problem document with this code; returns it."""
         problem: dict[str, Any] = json.loads(response.body)
         self.assertEqual(status, response.code, problem)
         self.assertEqual(code, problem["code"])
@@ -85,7 +85,7 @@
     def test_truncated_body(self) -> None:
         self.assert_problem(self.send(self.lookup, b'{"query": "par'), 400, "bad_request")
 
-    def test_wrong_shape_names_the_path(self) -> None:
+    def test_invalid_body_is_rejected_with_path(self) -> None:
         response = self.send(self.lookup, b'{"query": 7}')
         self.assertIn("$.query", self.assert_problem(response, 400, "bad_request")["detail"])
         unknown = self.send(self.lookup, b'{"query": "q", "colour": 1}')
@@ -100,27 +100,27 @@
         self.assert_problem(self.send("/v1/services/no/lookup", body), 404, "unknown_service")
         self.assert_problem(self.send("/v2/anything", body), 400, "bad_request")
 
-    def test_deadline_already_past(self) -> None:
+    def test_expired_deadline(self) -> None:
         response = self.send(self.lookup, b'{"query": "q"}', X_Deadline_Ms="-5")
         self.assert_problem(response, 504, "deadline_passed")
 
-    def test_bad_headers(self) -> None:
+    def test_invalid_headers(self) -> None:
         for headers in ({"X_Priority": "high"}, {"X_Repeatable": "maybe"}, {"X_Deadline_Ms": "x"}):
             response = self.send(self.lookup, b'{"query": "q"}', **headers)
             self.assert_problem(response, 400, "bad_request")
 
-    def test_no_sampler_says_when_to_come_back(self) -> None:
+    def test_missing_sampler_sets_retry_after(self) -> None:
         response = self.send(self.lookup, b'{"query": "q"}')
         self.assert_problem(response, 503, "no_sampler")
         self.assertEqual("2", response.headers["Retry-After"])
 
-    def test_key_reused_with_another_body(self) -> None:
+    def test_idempotency_key_with_another_body(self) -> None:
         refused = Refused(ErrorKind.KEY_REUSED, "another body")
         core = self.shell.core
         original = core.gateway.submit
 
         def submit(now: float, request: Any, view: Any) -> Any:
-            """The ledger's answer comes at once; its own test is in test_ledger.py."""
+            """Replaces the reply of the ledger, which test_ledger.py covers."""
             original(now, request, view)
             return core.gateway.claimed(now, request.request_id, refused, view)
 
@@ -134,19 +134,19 @@
         ready = self.fetch("/readyz", raise_error=False)
         self.assert_problem(ready, 503, "draining")
 
-    def test_a_bad_policy_is_refused_with_its_place(self) -> None:
+    def test_invalid_policy_is_rejected_with_position(self) -> None:
         body = json.dumps({"priority": "request.size > 1"}).encode()
         response = self.send("/v1/objects/policy/p", body, method="PUT")
         problem = self.assert_problem(response, 422, "policy_invalid")
         self.assertIn("priority: line 1, column 9", problem["detail"])
 
-    def test_a_bad_object_is_refused_with_its_path(self) -> None:
+    def test_invalid_object_is_rejected_with_path(self) -> None:
         response = self.send("/v1/objects/round/r", b'{"pool": 3}', method="PUT")
         self.assertIn("$.pool", self.assert_problem(response, 422, "object_invalid")["detail"])
         other = self.send("/v1/objects/fruit/r", b"{}", method="PUT")
         self.assert_problem(other, 404, "unknown_object")
 
-    def test_an_object_api_that_is_down_leaves_the_outcome_unknown(self) -> None:
+    def test_unavailable_object_api_gives_unknown_outcome(self) -> None:
         body = json.dumps({"home_role": "lookup", "model": "m"}).encode()
         response = self.send("/v1/objects/pool/p", body, method="PUT")
         self.assert_problem(response, 503, "platform_unavailable", outcome="unknown")
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: what its pages show, as the product's own types."""
+"""The platform adapter: translation of the platform's formats to and from `api` types."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    """A route as the operator writes it."""
+    """A route in the platform's format."""
     return {
         "name": "r",
         "host": "h.example",
@@ -50,7 +50,7 @@
 
 
 class ConfigurationTest(testtools.TestCase):
-    """Configurations, samplers, versions."""
+    """Decoding of configurations, samplers and versions."""
 
     def test_a_configuration(self) -> None:
         rollout = {"routeType": "rollout", "service": "z", "backends": [], "maxWaitS": 40.0}
@@ -72,7 +72,7 @@
         assert configuration.services[0].engine is not None
         self.assertEqual(["m"], configuration.services[0].engine.models)
 
-    def test_an_object_that_is_not_as_agreed_is_refused_not_fatal(self) -> None:
+    def test_invalid_objects_are_rejected(self) -> None:
         for spec in (None, [], {"version": "x"}, {"version": 1, "routes": [{}], "services": []}):
             error = self.assertRaises(StileloomError, DIALECT.decode_configuration, spec)
             self.assertEqual(ErrorKind.OBJECT_INVALID, error.kind)
@@ -100,15 +100,10 @@
 
 
 class ForeignEntryTest(testtools.TestCase):
-    """Entries of other writers name no sampler to use, and hide none.
-
-    One entry whose name was a number made the whole list unreadable: a node that started knew no
-    sampler as long as it stood there. An address without a port raised past the error handling, an
-    unknown state banned the sampler for good, and slots below one or a port of 99999 were used.
-    """
+    """Invalid directory entries are rejected and do not make the other entries unreadable."""
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """An entry as a sampler writes it."""
+        """A valid entry with changes."""
         spec = {"service": "x", "address": "10.0.0.9:8080", "zone": "z", "slots": 16}
         return {
             **spec,
@@ -118,11 +113,11 @@
             "born": 1_760_000_000_000,
         } | changes
 
-    def test_the_birth_of_a_sampler_is_read(self) -> None:
+    def test_start_time_is_part_of_incarnation(self) -> None:
         entry = DIALECT.decode_sampler(ObjectRecord("i-1", 1, self.entry()))
         self.assertEqual("i-1/1760000000000", entry.incarnation)
 
-    def test_what_no_sampler_writes_is_not_understood(self) -> None:
+    def test_invalid_entries_are_rejected(self) -> None:
         for changes in (
             {"address": "10.0.0.9"},
             {"address": "10.0.0.9:99999"},
@@ -152,7 +147,7 @@
             )
             self.assertEqual(ErrorKind.OBJECT_INVALID, error.kind, spec)
 
-    def test_an_unreadable_object_hides_none_of_the_others(self) -> None:
+    def test_unreadable_objects_do_not_hide_others(self) -> None:
         good = {"metadata": {"name": "i-1", "revision": 3}, "spec": self.entry()}
         objects = [
             {"metadata": {"name": 5, "revision": 1}, "spec": {}},
@@ -165,7 +160,7 @@
 
         async def scenario() -> None:
             answers = {"/objects/servers": page, "/objects/servers?watch=1&waitMs=0": watch}
-            async with one_answer_server(answers) as address:
+            async with fixed_response_server(answers) as address:
                 store = PlatformObjectStore(address)
                 listed = await store.list_objects("servers")
                 self.assertEqual(["i-2", "i-1"], [record.name for record in listed.records])
@@ -179,8 +174,8 @@
 
 
 @contextlib.asynccontextmanager
-async def one_answer_server(answers: dict[str, bytes]) -> AsyncIterator[str]:
-    """A server with a fixed body for each target; its address."""
+async def fixed_response_server(answers: dict[str, bytes]) -> AsyncIterator[str]:
+    """Runs a server with a fixed response body for each target; yields its address."""
 
     def answer(request: HTTPServerRequest) -> None:
         assert request.connection is not None
@@ -198,7 +193,7 @@
 
 
 class JobCallTest(testtools.TestCase):
-    """Calls about batch jobs."""
+    """Translation of batch job calls."""
 
     def test_reads_and_ends(self) -> None:
         headers = {DIALECT.names.wait_ms: "1000"}
@@ -209,7 +204,7 @@
         self.assertIsNone(DIALECT.job_call("POST", "/lots/7c41", {}))
         self.assertIsNone(DIALECT.job_call("GET", "/other", {}))
 
-    def test_numbers_that_are_none_are_refused(self) -> None:
+    def test_invalid_numbers_are_rejected(self) -> None:
         for text in ("x", "-1", "nan", "inf", "1e30"):
             target = f"/lots/7?afterRev={text}"
             error = self.assertRaises(StileloomError, DIALECT.job_call, "GET", target, {})
@@ -229,7 +224,7 @@
         self.assertEqual((7, 6, 12), (job.step, job.min_version, job.desired_groups))
         self.assertEqual((b"\xab\xcd", "g"), (job.items[0].body, job.items[0].group))
 
-    def test_bad_jobs_are_refused(self) -> None:
+    def test_invalid_jobs_are_rejected(self) -> None:
         one = {"id": "a", "path": "/p"}
         deep = b"[" * DEPTH
         for body in (
@@ -242,11 +237,11 @@
             msgspec.json.encode({"requests": [one | {"body": "***"}]}),
             msgspec.json.encode({"requests": [one | {"headers": {"a": 1}}]}),
         ):
-            error = self.assertRaises(StileloomError, self.take, body)
+            error = self.assertRaises(StileloomError, self.decode_and_check, body)
             self.assertEqual(ErrorKind.BAD_REQUEST, error.kind)
 
-    def take(self, body: bytes) -> None:
-        """A job's body as a gateway takes it: decoded, then checked."""
+    def decode_and_check(self, body: bytes) -> None:
+        """Decodes and checks a job, as a gateway does."""
         check_submission(DIALECT.decode_job("j", "h", "/p", body))
 
     def test_reward_calls(self) -> None:
@@ -257,7 +252,7 @@
         for change in ({"body": "***"}, {"id": ""}, {"id": "e5"}, {"path": "q"}, {"host": ""}):
             bad = {"id": "e5", "path": "/p/1", "scorerUrl": reward | change}
             encoded = msgspec.json.encode({"requests": [bad]})
-            error = self.assertRaises(StileloomError, self.take, encoded)
+            error = self.assertRaises(StileloomError, self.decode_and_check, encoded)
             self.assertEqual(ErrorKind.BAD_REQUEST, error.kind)
 
     def test_a_score(self) -> None:
@@ -279,7 +274,7 @@
 
 
 class OrderTest(testtools.TestCase):
-    """Calls to samplers."""
+    """Translation of control requests to samplers."""
 
     def test_an_order_and_a_report(self) -> None:
         order = LoadOrder("m", 2, LoadStrategy.RETAIN, "node-7", 41, 5)
@@ -303,9 +298,9 @@
 
 
 class FolderTest(testtools.TestCase):
-    """The adapter stays small, and the product does not know it."""
+    """The adapter stays small, and stileloom does not depend on it."""
 
-    def test_size_and_direction(self) -> None:
+    def test_size_and_dependencies(self) -> None:
         adapter = list((ROOT / "platform").rglob("*.py"))
         lines = sum(len(path.read_text().splitlines()) for path in adapter)
         self.assertLess(lines, 1500)
