--- a/stileloom/background.py
+++ b/stileloom/background.py
@@ -1,4 +1,4 @@
-"""Work beside the main flow: tasks whose faults are logged, and steady ticks."""
+"""Background tasks with logged exceptions, and a periodic timer."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from stileloom.events import LogEvent
 from stileloom.logging import EventLog
 
-TRACE_CHARACTERS = 1500
+MAX_TRACEBACK_LENGTH = 1500
 
 
 class BackgroundTasks:
-    """Tasks of one owner; they end with it."""
+    """Set of tasks that are cancelled together; their exceptions are logged."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Starts a task."""
+        """Starts a task and keeps a reference to it until it is done."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._done)
 
     def cancel(self) -> None:
-        """Cancels all tasks."""
+        """Requests cancellation of all running tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -36,15 +36,15 @@
             return
         error = task.exception()
         if error is not None:
-            trace = "".join(traceback.format_exception(error))[-TRACE_CHARACTERS:]
+            trace = "".join(traceback.format_exception(error))[-MAX_TRACEBACK_LENGTH:]
             self._log.emit(LogEvent.INTERNAL_FAULT, {"error": repr(error), "trace": trace})
 
 
 class Ticker:
-    """Calls a function at an interval of the monotonic clock.
+    """Calls a function periodically, timed by the event loop's monotonic clock.
 
-    tornado's `PeriodicCallback` counts by the time of day: after a step ahead and back it
-    does not call again until the clock has caught up.
+    tornado's `PeriodicCallback` uses wall-clock time: after a step forward and back it pauses until
+    the clock has caught up.
     """
 
     def __init__(self, callback: Callable[[], None], interval_s: float) -> None:
@@ -53,11 +53,11 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins to call."""
+        """Schedules the first call, one interval from now."""
         self._schedule()
 
     def stop(self) -> None:
-        """Calls no more."""
+        """Cancels the next call."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/stileloom/clock.py
+++ b/stileloom/clock.py
@@ -1,10 +1,9 @@
-"""The clock of all programs: steady, and running on while the machine is suspended.
+"""Monotonic clock that includes time spent in system suspend.
 
-`time.monotonic` stands still while a machine is suspended. A node that wakes would take its
-lease, its order window and what it read before for as young as they were when it fell asleep,
-while the other nodes have long elected another leader. The time of day counts the sleep, but
-may jump. So every age, lease, window, deadline and timer counts by the clock in this module; the
-linter bans `time.monotonic`. The time of day serves only where a moment has to outlive a process.
+`time.monotonic` stops during suspend, so a resumed node would treat an expired lease, order window
+or cached read as valid although another leader may have been elected. Wall-clock time includes
+suspend but can jump. All ages, leases, deadlines and timers therefore use this module, and the
+linter bans `time.monotonic`. Wall-clock time is used only for timestamps that outlive a process.
 """
 
 from __future__ import annotations
@@ -18,23 +17,23 @@
 
 
 def steady_time() -> float:
-    """Seconds since the machine started, those in which it was suspended included."""
+    """Seconds since boot, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time asleep: what was due fires at the wake.
+    """Event loop whose timers include suspend time: overdue timers fire after resume.
 
-    A wait that was under way when the machine fell asleep still takes the rest of its time
-    before the loop looks at its timers: `stileloom.background.Ticker` bounds that to one tick.
+    A selector wait in progress at suspend still runs for its remaining timeout before timers are
+    checked. A running `stileloom.background.Ticker` limits that delay to one interval.
     """
 
     def time(self) -> float:
-        """The clock of all timers, in seconds."""
+        """Clock of the loop's timers, in seconds."""
         return steady_time()
 
 
 def run_program(main: Coroutine[Any, Any, _Result]) -> _Result:
-    """Runs a program's main coroutine, as `asyncio.run` does, on a loop of this clock."""
+    """Like `asyncio.run`, with a `SuspendAwareEventLoop`."""
     with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main)
--- a/stileloom/errors.py
+++ b/stileloom/errors.py
@@ -1,9 +1,8 @@
-"""The closed list of error kinds and the one table from a kind to its answers.
+"""Error kinds and their HTTP statuses, exit codes and default outcomes.
 
-Every failure that a caller, trainer or operator can see is an `ErrorKind`. The table
-`ANSWERS` gives its HTTP status, the exit code of the command line, the outcome that is
-stated when nothing more is known, and whether `Retry-After` goes with it.
-Problem documents follow RFC 9457.
+Every failure visible to a caller, trainer or operator is an `ErrorKind`. `ANSWERS` maps each kind
+to its HTTP status, command-line exit code, default outcome and `Retry-After` value. Problem
+documents follow RFC 9457.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known about whether a request was run."""
+    """Whether a request was executed, as far as is known."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -22,7 +21,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """The closed list of error kinds; the value is the `code` on the wire."""
+    """All error kinds; the value is the `code` member of the problem document."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -55,14 +54,14 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """How one error kind is answered."""
+    """HTTP and command-line representation of an error kind."""
 
     http_status: int
     exit_code: int
     outcome: Outcome
-    """The outcome stated unless the place that failed knows better."""
+    """Default outcome, used unless the error states a more specific one."""
     retry_after_s: int | None
-    """Seconds for `Retry-After`; None where asking again can not help."""
+    """`Retry-After` in seconds; None if retrying cannot succeed."""
     title: str
 
 
@@ -128,8 +127,8 @@
     ErrorKind.STALE_DELIVERIES: ErrorAnswer(
         409, 5, Outcome.NOT_RUN, 1, "Unacknowledged deliveries would exceed the staleness bound"
     ),
-    # 503 and not a 4xx: the request is well formed, and only a 503 promises that this arrival
-    # has not run and never will. A caller that asks again is refused at once.
+    # 503 rather than 4xx: the request is well formed, and only a 503 guarantees that it was not and
+    # will not be executed. Retries are rejected immediately.
     ErrorKind.QUARANTINED: ErrorAnswer(
         503, 11, Outcome.NOT_RUN, None, "Samplers ended under this request: do not send it again"
     ),
@@ -141,11 +140,7 @@
 
 
 class StileloomError(Exception):
-    """An error of a listed kind.
-
-    Shape: `kind` from the closed list, `detail` for a person, `outcome` as far as it is
-    known, `retry_after_s` in seconds or None.
-    """
+    """Error with an `ErrorKind`, a detail message, an outcome and an optional retry delay."""
 
     def __init__(
         self,
@@ -163,12 +158,12 @@
 
     @property
     def answer(self) -> ErrorAnswer:
-        """The row of the table for this kind."""
+        """Entry of `ANSWERS` for this kind."""
         return ANSWERS[self.kind]
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """A problem document (RFC 9457) with this product's `code` and `outcome`."""
+    """Problem document (RFC 9457) with the extension members `code` and `outcome`."""
 
     title: str
     status: int
@@ -180,7 +175,7 @@
 
 
 def problem_of(error: StileloomError) -> Problem:
-    """The problem document for an error."""
+    """Builds the problem document for an error."""
     return Problem(
         title=error.answer.title,
         status=error.answer.http_status,
--- a/stileloom/events.py
+++ b/stileloom/events.py
@@ -1,6 +1,6 @@
-"""The numbered log events. `docs/LOG_EVENTS.md` is their catalogue; a test compares both.
+"""Numbered log events, documented in `docs/LOG_EVENTS.md`; a test compares both.
 
-Numbers are never reused: 1xxx process and configuration, 2xxx membership, 3xxx ledger and
+Numbers are never reused. Ranges: 1xxx process and configuration, 2xxx membership, 3xxx ledger and
 controller, 4xxx samplers and weights, 5xxx requests, 6xxx platform, 7xxx rounds.
 """
 
@@ -10,7 +10,7 @@
 
 
 class LogEvent(enum.Enum):
-    """A log event; the value is its number as it stands in the logs."""
+    """Log events; the value is the number written to the logs."""
 
     NODE_STARTED = "STL-1001"
     NODE_STOPPED = "STL-1002"
--- a/stileloom/logging.py
+++ b/stileloom/logging.py
@@ -1,8 +1,7 @@
-"""Structured logs: JSON lines on standard output, one numbered event each.
+"""Structured logs: JSON lines on standard output, one numbered event per line.
 
-The volume is bounded: each event has a budget of lines a second, and what goes over it is
-counted and told by one line. Writing never blocks: a line that the reader does not take at
-once is dropped and counted.
+Each event type is rate limited; suppressed lines are counted and reported periodically. Writes
+never block: a line that cannot be written immediately is dropped and counted.
 """
 
 from __future__ import annotations
@@ -41,25 +40,25 @@
 ROUTINE_LINES_PER_S = 20.0
 OTHER_LINES_PER_S = 30.0
 BURST_S = 1.0
-SUPPRESSION_NOTICE_S = 1.0
+SUPPRESSION_REPORT_INTERVAL_S = 1.0
 
 
-class LineBudget:
-    """A token bucket for each event, and a count of what went over it."""
+class LineRateLimiter:
+    """Token bucket per event type, with counts of suppressed lines."""
 
     def __init__(self) -> None:
         self.suppressed_total = 0
         self._tokens: dict[LogEvent, float] = {}
-        self._filled_at: dict[LogEvent, float] = {}
+        self._refilled_at: dict[LogEvent, float] = {}
         self._suppressed: dict[str, int] = {}
-        self._notice_at = 0.0
+        self._next_report_at = 0.0
 
-    def admits(self, event: LogEvent, now: float) -> bool:
-        """Whether a line of this event may be written now."""
+    def allow(self, event: LogEvent, now: float) -> bool:
+        """Takes a token for the event; returns False and counts the line if none is left."""
         rate = ROUTINE_LINES_PER_S if event in ROUTINE_EVENTS else OTHER_LINES_PER_S
-        elapsed_s = now - self._filled_at.get(event, now)
+        elapsed_s = now - self._refilled_at.get(event, now)
         tokens = self._tokens.get(event, rate * BURST_S) + elapsed_s * rate
-        self._filled_at[event] = now
+        self._refilled_at[event] = now
         if tokens < 1.0:
             self._tokens[event] = tokens
             self.suppressed_total += 1
@@ -69,63 +68,63 @@
         self._tokens[event] = min(tokens, rate * BURST_S) - 1.0
         return True
 
-    def take_notice(self, now: float) -> dict[str, int] | None:
-        """Counts by event, when it is time to tell them."""
-        if not self._suppressed or now < self._notice_at:
+    def take_suppressed_counts(self, now: float) -> dict[str, int] | None:
+        """Returns and resets the suppressed counts per event if a report is due."""
+        if not self._suppressed or now < self._next_report_at:
             return None
-        self._notice_at = now + SUPPRESSION_NOTICE_S
+        self._next_report_at = now + SUPPRESSION_REPORT_INTERVAL_S
         counts, self._suppressed = self._suppressed, {}
         return counts
 
 
 class OutputStream:
-    """A file that structlog prints to; drops lines that the reader does not take at once."""
+    """Non-blocking output file for structlog; drops lines instead of blocking."""
 
     def __init__(self, descriptor: int) -> None:
         self.dropped_total = 0
         self._descriptor = descriptor
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Writes a line, or drops it whole."""
+        """Writes a line, or drops it entirely if the output is blocked."""
         if text == "\n":
             return 0
         line = text.encode("utf-8", "replace")
         if not line.endswith(b"\n"):
             line += b"\n"
         try:
-            if self._rest:
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
-            if self._rest:
+            if self._unwritten:
+                written = os.write(self._descriptor, self._unwritten)
+                self._unwritten = self._unwritten[written:]
+            if self._unwritten:
                 self.dropped_total += 1
                 return len(text)
             written = os.write(self._descriptor, line)
-            self._rest = line[written:]
+            self._unwritten = line[written:]
         except OSError:
             self.dropped_total += 1
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is held back."""
+        """Does nothing: the file is unbuffered."""
 
 
 class EventLog:
-    """Writes events with the node's id bound to each, within a budget."""
+    """Rate-limited event log that adds the node id to each line."""
 
     def __init__(self, node_id: str, clock: Callable[[], float] = steady_time) -> None:
-        self.budget = LineBudget()
+        self.budget = LineRateLimiter()
         self._clock = clock
         self._logger = structlog.get_logger().bind(node=node_id)
 
     def emit(self, event: LogEvent, fields: dict[str, object]) -> None:
-        """Writes one event, or counts it where its budget is used up."""
+        """Writes an event, or counts it as suppressed if its rate limit is exceeded."""
         now = self._clock()
-        notice = self.budget.take_notice(now)
-        if notice is not None:
-            self._write(LogEvent.LINES_SUPPRESSED, {"counts": notice})
-        if self.budget.admits(event, now):
+        counts = self.budget.take_suppressed_counts(now)
+        if counts is not None:
+            self._write(LogEvent.LINES_SUPPRESSED, {"counts": counts})
+        if self.budget.allow(event, now):
             self._write(event, fields)
 
     def _write(self, event: LogEvent, fields: dict[str, object]) -> None:
@@ -134,7 +133,7 @@
 
 
 def configure_logs(level: str, stream: OutputStream | None = None) -> None:
-    """Sets structlog up for a process; logs go to standard output."""
+    """Configures structlog for the process; writes to standard output by default."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -150,5 +149,5 @@
 
 
 def open_output_stream() -> OutputStream:
-    """Standard output that never blocks, for a process that serves."""
+    """Opens standard output in non-blocking mode, for server processes."""
     return OutputStream(sys.stdout.fileno())
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Ticks and background tasks."""
+"""Periodic timer and background tasks."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from stileloom.logging import EventLog, configure_logs
 
 STEP_S = 300.0
-TICKS = 5
-GIVE_UP_S = 20.0
+TICKS_AFTER_STEP = 5
+TIMEOUT_S = 20.0
 
 
 class TickerTest(testtools.TestCase):
-    """Ticks follow the monotonic clock."""
+    """Ticks are independent of the wall clock."""
 
     def test_a_step_of_the_time_of_day_does_not_stop_the_ticks(self) -> None:
-        """A ledger node whose clock went ahead and back must go on sending heartbeats."""
-        wall = time.time
+        """Heartbeats must continue after the wall clock steps forward and back."""
+        wall_clock = time.time
 
         async def run() -> None:
             enough = asyncio.Event()
@@ -33,13 +33,13 @@
                 ticks += 1
                 if ticks == 2:
                     offset_s = 0.0
-                if ticks == 2 + TICKS:
+                if ticks == 2 + TICKS_AFTER_STEP:
                     enough.set()
 
-            with mock.patch("time.time", lambda: wall() + offset_s):
+            with mock.patch("time.time", lambda: wall_clock() + offset_s):
                 ticker = Ticker(tick, 0.01)
                 ticker.start()
-                async with asyncio.timeout(GIVE_UP_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     await enough.wait()
                 ticker.stop()
 
@@ -47,12 +47,12 @@
 
 
 class BackgroundTasksTest(testtools.TestCase):
-    """Faults of tasks are told."""
+    """Exceptions of tasks are logged."""
 
     def test_a_fault_is_logged(self) -> None:
         configure_logs("critical")
         log = EventLog("n")
-        told: list[str] = []
+        events: list[str] = []
 
         async def fail() -> None:
             raise ValueError("x")
@@ -63,6 +63,6 @@
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
-        with mock.patch.object(log, "emit", lambda event, fields: told.append(event.name)):
+        with mock.patch.object(log, "emit", lambda event, fields: events.append(event.name)):
             asyncio.run(run())
-        self.assertEqual(["INTERNAL_FAULT"], told)
+        self.assertEqual(["INTERNAL_FAULT"], events)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,11 +1,6 @@
-"""A machine that was suspended for seconds believes nothing older than its sleep.
+"""Leases and timers must account for time in system suspend.
 
-Story: the steady clock of the system stands still while a machine is suspended. A leader that
-slept past its lease woke with the lease as it was before, and could give orders beside the leader
-elected meanwhile; a node counted what it had read before the sleep as fresh.
-
-Evidence: with the system's steady clock in place of `steady_time` the leader below still may act
-after a sleep of ten seconds, and the timer fires five seconds late.
+Guards against a resumed leader that acts on a lease which expired during suspend.
 """
 
 from __future__ import annotations
@@ -21,27 +16,27 @@
 from stileloom.clock import SuspendAwareEventLoop, run_program
 from tests.service_cluster import ServiceCluster, with_cluster
 
-SLEEP_S = 10.0
-STEPS = 50
-"""Steps of the event loop: what is due runs in the first or second one."""
+SUSPEND_S = 10.0
+LOOP_ITERATIONS = 50
+"""Due callbacks run in the first or second iteration."""
 
 _read_clock = time.clock_gettime
 
 
 @contextlib.contextmanager
 def suspended(seconds: float) -> Iterator[None]:
-    """The machine has slept: the clock that counts the sleep is ahead, all others are not."""
+    """Simulates a suspend: advances only the clock that includes suspend time."""
 
-    def with_sleep(clock_id: int) -> float:
-        slept_s = seconds if clock_id == time.CLOCK_BOOTTIME else 0.0
-        return _read_clock(clock_id) + slept_s
+    def read_clock(clock_id: int) -> float:
+        offset_s = seconds if clock_id == time.CLOCK_BOOTTIME else 0.0
+        return _read_clock(clock_id) + offset_s
 
-    with mock.patch("time.clock_gettime", with_sleep):
+    with mock.patch("time.clock_gettime", read_clock):
         yield
 
 
 class SuspendedLeaderTest(testtools.TestCase):
-    """The ledger's leader after a sleep longer than its lease."""
+    """A ledger leader after a suspend longer than its lease."""
 
     def test_a_leader_that_slept_past_its_lease_may_not_act_when_it_wakes(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
@@ -50,7 +45,7 @@
             window = leader._leadership.runner._loader._window
             self.assertTrue(leader.may_act())
             self.assertTrue(await window.open())
-            with suspended(SLEEP_S):
+            with suspended(SUSPEND_S):
                 self.assertFalse(leader.may_act())
                 self.assertFalse(window.is_open())
 
@@ -58,14 +53,14 @@
 
 
 class SuspendedLoopTest(testtools.TestCase):
-    """Timers of a program."""
+    """Event loop timers across a suspend."""
 
     def test_a_timer_that_came_due_in_a_sleep_fires_at_the_wake(self) -> None:
         async def run() -> bool:
             fired = asyncio.Event()
-            asyncio.get_running_loop().call_later(SLEEP_S / 2, fired.set)
-            with suspended(SLEEP_S):
-                for _ in range(STEPS):
+            asyncio.get_running_loop().call_later(SUSPEND_S / 2, fired.set)
+            with suspended(SUSPEND_S):
+                for _ in range(LOOP_ITERATIONS):
                     await asyncio.sleep(0)
             return fired.is_set()
 
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -1,4 +1,4 @@
-"""Decision logs: bounded, never blocking, and enough to tell a request's story."""
+"""Rate limiting, non-blocking log output and tracing of ids in logs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     BURST_S,
     OTHER_LINES_PER_S,
     EventLog,
-    LineBudget,
+    LineRateLimiter,
     OutputStream,
     configure_logs,
 )
@@ -23,17 +23,17 @@
 
 
 class BudgetTest(testtools.TestCase):
-    """So many lines of an event, and a count of the rest."""
+    """Rate limit per event type."""
 
     def test_a_flood_is_cut_and_counted_and_other_events_still_pass(self) -> None:
-        budget = LineBudget()
-        admitted = sum(budget.admits(LogEvent.ATTEMPT_FAILED, 1.0) for _ in range(FLOOD))
+        limiter = LineRateLimiter()
+        admitted = sum(limiter.allow(LogEvent.ATTEMPT_FAILED, 1.0) for _ in range(FLOOD))
         self.assertEqual(OTHER_LINES_PER_S * BURST_S, admitted)
-        self.assertEqual(FLOOD - admitted, budget.suppressed_total)
-        self.assertTrue(budget.admits(LogEvent.LEADER_ELECTED, 1.0))
-        self.assertEqual({"attempt_failed": FLOOD - admitted}, budget.take_notice(2.0))
-        self.assertIsNone(budget.take_notice(3.0))
-        self.assertTrue(budget.admits(LogEvent.ATTEMPT_FAILED, 2.0))
+        self.assertEqual(FLOOD - admitted, limiter.suppressed_total)
+        self.assertTrue(limiter.allow(LogEvent.LEADER_ELECTED, 1.0))
+        self.assertEqual({"attempt_failed": FLOOD - admitted}, limiter.take_suppressed_counts(2.0))
+        self.assertIsNone(limiter.take_suppressed_counts(3.0))
+        self.assertTrue(limiter.allow(LogEvent.ATTEMPT_FAILED, 2.0))
 
     def test_the_count_is_told_by_a_line(self) -> None:
         read, write = os.pipe()
@@ -48,13 +48,13 @@
         os.close(write)
         with os.fdopen(read) as lines:
             events = [json.loads(line) for line in lines]
-        told = [event for event in events if event["event"] == "lines_suppressed"]
+        reports = [event for event in events if event["event"] == "lines_suppressed"]
         suppressed = 100 - OTHER_LINES_PER_S * BURST_S
-        self.assertEqual(suppressed, sum(event["counts"]["attempt_failed"] for event in told))
+        self.assertEqual(suppressed, sum(event["counts"]["attempt_failed"] for event in reports))
 
 
 class OutputStreamTest(testtools.TestCase):
-    """A reader that does not read."""
+    """Output to a blocked or closed pipe."""
 
     def test_a_blocked_output_stops_nothing_and_is_counted(self) -> None:
         read, write = os.pipe()
@@ -90,14 +90,14 @@
 
 
 def line(second: float, node: str, event: str, **fields: Any) -> str:
-    """A log line, with something before it as collectors add."""
-    stamp = f"2026-01-01T00:00:{second:09.6f}Z"
-    body = {"node": node, "number": "STL-0", "event": event, "timestamp": stamp, **fields}
+    """A log line with a prefix, as log collectors add."""
+    timestamp = f"2026-01-01T00:00:{second:09.6f}Z"
+    body = {"node": node, "number": "STL-0", "event": event, "timestamp": timestamp, **fields}
     return f"  {second} {node} {json.dumps(body)}"
 
 
 class TraceTest(testtools.TestCase):
-    """The story of an id."""
+    """Log lines related to an id."""
 
     def test_own_lines_and_state_changes_around_them_in_order(self) -> None:
         texts = [
@@ -108,15 +108,15 @@
             line(10.1, "g2", "request_refused", request="r2", code="overloaded"),
             line(8.0, "g1", "store_lost", kind="samplers"),
             line(1.0, "g1", "routes_adopted", version=3),
-            "no json at all",
+            "not json",
             "{broken",
         ]
-        story = gather("r1", texts)
+        trace = gather("r1", texts)
         self.assertEqual(
             ["store_lost", "sampler_unlisted", "attempt_failed", "request_refused"],
-            [entry.event for entry in story.lines],
+            [entry.event for entry in trace.lines],
         )
-        self.assertIn("code=overloaded", render(story))
+        self.assertIn("code=overloaded", render(trace))
 
     def test_a_quarantined_request_leads_to_the_samplers_that_ended_under_it(self) -> None:
         texts = [
