--- a/stileloom/cli/__init__.py
+++ b/stileloom/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/stileloom/cli/bench.py
+++ b/stileloom/cli/bench.py
@@ -1,4 +1,4 @@
-"""`stileloom bench`: hours of service in virtual time, and the comparison of two runs."""
+"""`stileloom bench`: benchmarks in virtual time, and comparison of two results."""
 
 from __future__ import annotations
 
@@ -28,24 +28,28 @@
 @app.callback()
 def bench(
     context: typer.Context,
-    deployment: Annotated[DeploymentName, typer.Option(help="Which deployment.")] = (
+    deployment: Annotated[DeploymentName, typer.Option(help="Deployment to simulate.")] = (
         DeploymentName.CARTAS
     ),
     scheduler: Annotated[SchedulerKind, typer.Option(help="Scheduler.")] = SchedulerKind.DEFAULT,
     seed: Annotated[int, typer.Option(help="The same seed gives the same result.")] = 1,
-    duration_s: Annotated[float, typer.Option(help="Virtual seconds; one day's curve.")] = 1800.0,
-    staleness_bound: Annotated[int, typer.Option(help="Bound of the round, in versions.")] = 2,
-    samples_per_step: Annotated[int, typer.Option(help="Samples of one training step.")] = 384,
-    training: Annotated[bool, typer.Option(help="Off: lookups alone.")] = True,
+    duration_s: Annotated[
+        float, typer.Option(help="Virtual duration; covers one daily load curve.")
+    ] = 1800.0,
+    staleness_bound: Annotated[
+        int, typer.Option(help="Staleness bound of the round, in versions.")
+    ] = 2,
+    samples_per_step: Annotated[int, typer.Option(help="Samples per training step.")] = 384,
+    training: Annotated[bool, typer.Option(help="Run training; if off, only lookups.")] = True,
     without: Annotated[
-        list[Mechanism] | None, typer.Option(help="Leave a mechanism of the default out.")
+        list[Mechanism] | None, typer.Option(help="Disable a mechanism of the default scheduler.")
     ] = None,
     output: OutputOption = Output.TABLE,
-    save: Annotated[Path | None, typer.Option(help="Write the result (JSON) here.")] = None,
-    plot: Annotated[Path | None, typer.Option(help="Write a plot (PNG) here.")] = None,
+    save: Annotated[Path | None, typer.Option(help="Write the result to this file (JSON).")] = None,
+    plot: Annotated[Path | None, typer.Option(help="Write a plot to this file (PNG).")] = None,
     examples: ExamplesOption = Path("examples"),
 ) -> None:
-    """Runs one benchmark, unless a subcommand is given."""
+    """Runs a benchmark, unless a subcommand is given."""
     if context.invoked_subcommand is not None:
         return
     parameters = BenchParameters(
@@ -76,10 +80,10 @@
 
 @app.command()
 def compare(
-    first: Annotated[Path, typer.Argument(help="Result of a run (JSON).")],
-    second: Annotated[Path, typer.Argument(help="Result of another.")],
+    first: Annotated[Path, typer.Argument(help="First result (JSON).")],
+    second: Annotated[Path, typer.Argument(help="Second result (JSON).")],
 ) -> None:
-    """Prints two results side by side, and the ratio of the second to the first."""
+    """Prints two results side by side, with the ratio of the second to the first."""
     with exit_on_error():
         results = [_read(first), _read(second)]
         _print_results(results)
@@ -87,9 +91,9 @@
 
 @app.command()
 def ledger(
-    seconds: Annotated[float, typer.Option(help="How long samples are committed.")] = 10.0,
+    seconds: Annotated[float, typer.Option(help="Duration of the load.")] = 10.0,
 ) -> None:
-    """Three ledger nodes over loopback with fsync: commits a second, bytes, failover."""
+    """Measures commits per second, bytes and failover of three ledger nodes with fsync."""
     from stileloom.emulator.ledger_bench import run_ledger_bench  # noqa: PLC0415 (rarely used)
 
     with exit_on_error(), tempfile.TemporaryDirectory(prefix="stileloom-ledger-") as folder:
@@ -99,10 +103,10 @@
 
 @app.command()
 def weights(
-    samplers: Annotated[int, typer.Option(help="Samplers of the round's pool.")] = 1200,
-    zones: Annotated[int, typer.Option(help="Zones that they are spread over.")] = 9,
+    samplers: Annotated[int, typer.Option(help="Number of samplers in the pool.")] = 1200,
+    zones: Annotated[int, typer.Option(help="Number of zones.")] = 9,
 ) -> None:
-    """How long a new version takes to reach every sampler past the rate-limited store."""
+    """Measures the time to distribute a version to all samplers with a rate-limited store."""
     from stileloom.simulator.weights_bench import (  # noqa: PLC0415 (rarely used)
         WeightsBenchParameters,
         run_weights_bench,
@@ -114,11 +118,11 @@
 
 @app.command()
 def controller(
-    rounds: Annotated[int, typer.Option(help="Rounds, each with a pool of its own.")] = 16,
-    samples_per_step: Annotated[int, typer.Option(help="Samples of a step.")] = 1024,
-    samplers: Annotated[int, typer.Option(help="Samplers of all pools.")] = 1200,
+    rounds: Annotated[int, typer.Option(help="Number of rounds, each with its own pool.")] = 16,
+    samples_per_step: Annotated[int, typer.Option(help="Samples per step.")] = 1024,
+    samplers: Annotated[int, typer.Option(help="Number of samplers across all pools.")] = 1200,
 ) -> None:
-    """Processor time of the controller's tick."""
+    """Measures the CPU time of a controller tick."""
     from stileloom.emulator.controller_bench import run_controller_bench  # noqa: PLC0415
 
     result = run_controller_bench(rounds, samples_per_step, samplers)
@@ -133,7 +137,7 @@
 
 
 def _print_results(results: list[BenchResult]) -> None:
-    table = Table("measure")
+    table = Table("metric")
     for result in results:
         name = f"{result.parameters.deployment} {result.parameters.scheduler.value}"
         table.add_column(f"{name} #{result.seed}", justify="right")
--- a/stileloom/cli/demo.py
+++ b/stileloom/cli/demo.py
@@ -1,4 +1,4 @@
-"""`stileloom demo`: a deployment as separate processes on this machine."""
+"""`stileloom demo`: runs a deployment as separate local processes."""
 
 from __future__ import annotations
 
@@ -23,26 +23,30 @@
 
 
 class DeploymentName(enum.Enum):
-    """The two deployments under `examples/`."""
+    """Deployments under `examples/`."""
 
     CORRIB = "corrib"
     CARTAS = "cartas"
 
 
 ExamplesOption = Annotated[
-    Path, typer.Option(help="Folder that holds a folder of settings for each deployment.")
+    Path, typer.Option(help="Directory with one subdirectory of settings per deployment.")
 ]
 
 
 def demo(
-    deployment: Annotated[DeploymentName, typer.Option(help="Which deployment to run.")],
-    report: Annotated[Path | None, typer.Option(help="Write the report (JSON) here.")] = None,
-    seed: Annotated[int, typer.Option(help="Seed of the load and the stand-ins.")] = 1,
+    deployment: Annotated[DeploymentName, typer.Option(help="Deployment to run.")],
+    report: Annotated[
+        Path | None, typer.Option(help="Write the report to this file (JSON).")
+    ] = None,
+    seed: Annotated[int, typer.Option(help="Seed of the load and the emulators.")] = 1,
     scheduler: Annotated[SchedulerKind, typer.Option(help="Scheduler.")] = SchedulerKind.DEFAULT,
     examples: ExamplesOption = Path("examples"),
-    keep: Annotated[Path | None, typer.Option(help="Keep settings and logs here.")] = None,
+    keep: Annotated[
+        Path | None, typer.Option(help="Keep settings and logs in this directory.")
+    ] = None,
 ) -> None:
-    """Runs three zones of two nodes with stand-ins, a round, lookups, a kill and a drain.
+    """Runs a deployment with emulated engines, a round, lookups, a node kill and a drain.
 
     Example: stileloom demo --deployment corrib --report report.json
     """
@@ -65,8 +69,8 @@
 ) -> DemoReport:
     folder = examples / name.value
     deployment = load_deployment(folder)
-    with tempfile.TemporaryDirectory(prefix="stileloom-demo-") as scratch:
-        run_folder = keep if keep is not None else Path(scratch)
+    with tempfile.TemporaryDirectory(prefix="stileloom-demo-") as temporary_folder:
+        run_folder = keep if keep is not None else Path(temporary_folder)
         run_folder.mkdir(parents=True, exist_ok=True)
         files = write_run_files(
             deployment, folder / deployment.objects, run_folder, seed, scheduler.value
@@ -86,7 +90,7 @@
 
 def _print_report(report: DemoReport) -> None:
     table = Table(title=f"{report.deployment}, seed {report.seed}, {report.scheduler}")
-    table.add_column("measure")
+    table.add_column("metric")
     table.add_column("value", justify="right")
     samples, lookups = report.samples, report.lookups
     rows = {
--- a/stileloom/cli/emulate.py
+++ b/stileloom/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`stileloom emulate`: the platform's stand-ins, one process each."""
+"""`stileloom emulate`: emulators of platform services, one process each."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.settings_file import load_settings
 
-app = typer.Typer(help="Stand-ins for the platform: engines, stores, lists, trainers.")
+app = typer.Typer(help="Emulators of the platform: engines, stores, machine list, trainer.")
 
-ConfigOption = Annotated[Path, typer.Option("--config", help="The emulator's settings (TOML).")]
+ConfigOption = Annotated[Path, typer.Option("--config", help="Emulator settings (TOML).")]
 
 
 def _load(config: Path) -> EmulatorSettings:
@@ -28,7 +28,7 @@
 
 @app.command("object-api")
 def object_api(config: ConfigOption) -> None:
-    """The object API: versions, watches, compare-and-swap, faults on request."""
+    """Runs the object API, with watches, compare-and-swap and fault injection."""
     with exit_on_error():
         settings = _load(config)
         application = object_api_server.object_api_application(settings)
@@ -38,7 +38,7 @@
 
 @app.command()
 def machines(config: ConfigOption) -> None:
-    """The lagging list of live and leaving machines."""
+    """Runs the list of live and leaving machines, which lags behind their actual state."""
     with exit_on_error():
         settings = _load(config)
         application = platform_servers.machine_list_application(settings)
@@ -48,7 +48,7 @@
 
 @app.command()
 def weights(config: ConfigOption) -> None:
-    """The rate-limited weight store."""
+    """Runs the rate-limited weight store."""
     with exit_on_error():
         settings = _load(config)
         application = platform_servers.weight_store_application(settings)
@@ -61,20 +61,20 @@
     config: ConfigOption,
     sampler: Annotated[str, typer.Option(help="Id of the sampler in the settings.")],
 ) -> None:
-    """One model engine. SIGTERM: no new work, what runs is finished."""
+    """Runs a model engine. On SIGTERM it rejects new requests and finishes those running."""
     with exit_on_error():
         settings = _load(config)
-        chosen = next((s for s in settings.samplers if s.sampler_id == sampler), None)
-        if chosen is None:
+        selected = next((s for s in settings.samplers if s.sampler_id == sampler), None)
+        if selected is None:
             raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{config}: no sampler {sampler!r}")
-        service = engine_server.EngineService(settings, chosen)
+        service = engine_server.EngineService(settings, selected)
         application = engine_server.engine_application(service)
-        run_program(run_until_stopped(application, settings.host, chosen.port, service))
+        run_program(run_until_stopped(application, settings.host, selected.port, service))
 
 
 @app.command()
 def hollow(config: ConfigOption) -> None:
-    """Hollow nodes, many in one process, for scale runs."""
+    """Runs many hollow nodes in one process, for scale tests."""
     with exit_on_error():
         run_program(run_hollow(load_settings(config, HollowSettings)))
 
@@ -82,9 +82,11 @@
 @app.command()
 def trainer(
     config: ConfigOption,
-    staleness_bound: Annotated[int, typer.Option(help="Bound that the trainer checks.")],
+    staleness_bound: Annotated[
+        int, typer.Option(help="Staleness bound that the trainer verifies.")
+    ],
 ) -> None:
-    """A trainer that runs a round to its end and writes its report."""
+    """Runs a trainer until the end of its round and writes a report."""
     with exit_on_error():
         settings = _load(config)
         if settings.trainer is None:
--- a/stileloom/cli/errors.py
+++ b/stileloom/cli/errors.py
@@ -1,4 +1,4 @@
-"""How the command line ends on an error: one line on standard error and a listed exit code."""
+"""Error handling of the commands: a line on standard error and the exit code of the error kind."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @contextlib.contextmanager
 def exit_on_error() -> Iterator[None]:
-    """Turns a `StileloomError` into its exit code."""
+    """Prints a `StileloomError` and exits with its exit code."""
     try:
         yield
     except StileloomError as error:
--- a/stileloom/cli/main.py
+++ b/stileloom/cli/main.py
@@ -1,4 +1,4 @@
-"""`stileloom`: the command line."""
+"""Entry point of the `stileloom` command."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     config: Annotated[Path, typer.Option(help="Settings of the node (TOML).")],
     node_id: Annotated[str | None, typer.Option(help="Overrides `node_id`.")] = None,
     zone: Annotated[str | None, typer.Option(help="Overrides `zone`.")] = None,
-    host: Annotated[str | None, typer.Option(help="Overrides `host`, an IP number.")] = None,
+    host: Annotated[str | None, typer.Option(help="Overrides `host`, an IP address.")] = None,
     port: Annotated[int | None, typer.Option(help="Overrides `port`.")] = None,
     http_port: Annotated[int | None, typer.Option(help="Overrides `http_port`.")] = None,
 ) -> None:
-    """Runs a node until SIGTERM, which drains it.
+    """Runs a node until SIGTERM, then drains it.
 
     Example: stileloom serve --config node.toml --port 7400
     """
--- a/stileloom/cli/manifests.py
+++ b/stileloom/cli/manifests.py
@@ -1,4 +1,4 @@
-"""Object files of operators: TOML with one `[[object]]` table for each object."""
+"""Object manifests: TOML files with one `[[object]]` table per object."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class ManifestFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A file of objects."""
+    """Contents of a manifest file."""
 
     object: list[ObjectManifest]
 
 
 def load_manifests(path: Path) -> list[ObjectManifest]:
-    """Reads and checks a file of objects.
+    """Loads and validates a manifest file.
 
-    Raises `StileloomError`: OBJECT_INVALID or POLICY_INVALID with file, object and place.
+    Raises `StileloomError` of kind OBJECT_INVALID or POLICY_INVALID with the file and the object.
     """
     try:
         manifests = msgspec.toml.decode(path.read_bytes(), type=ManifestFile).object
@@ -39,5 +39,5 @@
         if isinstance(spec, Policy):
             check_policy(manifest.name, spec)
     except StileloomError as error:
-        place = f"{path}: {manifest.kind.value} {manifest.name!r}"
-        raise StileloomError(error.kind, f"{place}: {error.detail}") from error
+        location = f"{path}: {manifest.kind.value} {manifest.name!r}"
+        raise StileloomError(error.kind, f"{location}: {error.detail}") from error
--- a/stileloom/cli/operate.py
+++ b/stileloom/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands of operators: check, apply, get, delete, status, explain, drain."""
+"""Operator commands: check, apply, get, delete, status, explain, drain."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from stileloom.settings import NodeSettings
 from stileloom.settings_file import load_settings
 
-IN_FORCE_POLL_S = 0.1
+IN_FORCE_POLL_INTERVAL_S = 0.1
 
 
 class Output(enum.Enum):
-    """Formats of `-o`."""
+    """Output formats of `-o`."""
 
     TABLE = "table"
     JSON = "json"
@@ -43,7 +43,7 @@
 
 
 def register(app: typer.Typer) -> None:
-    """Adds the commands of this module."""
+    """Registers the commands of this module."""
     for command in (check, apply, get, delete, status, explain, drain):
         app.command()(command)
 
@@ -55,7 +55,7 @@
 def check(
     file: Annotated[Path, typer.Argument(help="A settings file or a file of objects (TOML).")],
 ) -> None:
-    """Checks a file without starting or changing anything.
+    """Validates a file without applying it.
 
     Example: stileloom check examples/corrib/objects.toml
     """
@@ -86,16 +86,16 @@
     file: Annotated[Path, typer.Option("-f", "--file", help="File of objects (TOML).")],
     revision: Annotated[
         int | None,
-        typer.Option(help="Revision that a single object must have now; 0: must not exist."),
+        typer.Option(help="Required current revision of a single object; 0: must not exist."),
     ] = None,
     wait_s: Annotated[
-        float, typer.Option(help="Wait so long until the change is in force in every zone.")
+        float, typer.Option(help="Seconds to wait until the change is in force in every zone.")
     ] = 0.0,
 ) -> None:
-    """Submits or revises the objects of a file.
+    """Creates or updates the objects of a file.
 
-    Without --revision each object is compared and swapped against what is stored when it
-    is written, so a racing change is refused, not overwritten.
+    Each write is a compare-and-swap. Without --revision it uses the current revision, read just
+    before, so a concurrent change is rejected rather than overwritten.
     """
     with exit_on_error():
         manifests = load_manifests(file)
@@ -120,11 +120,11 @@
         revision = await _current_revision(caller, path)
     headers = {"If-Match": str(revision), "X-Change-Id": uuid.uuid4().hex}
     response = await caller.call("PUT", path, manifest.spec, headers)
-    return msgspec.json.decode(response.body, type=_Written).revision
+    return msgspec.json.decode(response.body, type=_WriteResult).revision
 
 
-class _Written(msgspec.Struct):
-    """Answer to a change of an object."""
+class _WriteResult(msgspec.Struct):
+    """Response to a change of an object."""
 
     revision: int
 
@@ -147,7 +147,7 @@
             waited_s = steady_time() - started_at
             typer.echo(f"revision {revision} in force in every zone after {waited_s:.1f} s")
             return
-        await asyncio.sleep(IN_FORCE_POLL_S)
+        await asyncio.sleep(IN_FORCE_POLL_INTERVAL_S)
     raise StileloomError(
         ErrorKind.PLATFORM_UNAVAILABLE, f"revision {revision} is stored but not in force yet"
     )
@@ -155,25 +155,25 @@
 
 def get(
     server: ServerOption,
-    kind: Annotated[ObjectKind | None, typer.Argument(help="Kind; all without.")] = None,
-    name: Annotated[str | None, typer.Argument(help="Name; all without.")] = None,
+    kind: Annotated[ObjectKind | None, typer.Argument(help="Kind; all if omitted.")] = None,
+    name: Annotated[str | None, typer.Argument(help="Name; all if omitted.")] = None,
     output: OutputOption = Output.TABLE,
 ) -> None:
     """Lists objects, or shows one."""
     with exit_on_error():
         listed = run_program(_list(server))
-        chosen = [
+        selected = [
             stored
             for stored in listed.objects
             if (kind is None or stored.kind == kind.value) and name in (None, stored.name)
         ]
-        if name is not None and not chosen:
+        if name is not None and not selected:
             raise StileloomError(ErrorKind.UNKNOWN_OBJECT, name)
         if output is Output.JSON:
-            _print_json({"revision": listed.revision, "objects": chosen})
+            _print_json({"revision": listed.revision, "objects": selected})
             return
         table = Table("kind", "name", "revision", "spec")
-        for stored in chosen:
+        for stored in selected:
             spec = msgspec.json.encode(stored.spec).decode()
             table.add_row(stored.kind, stored.name, str(stored.revision), spec)
         Console().print(table)
@@ -188,15 +188,15 @@
     server: ServerOption,
     kind: Annotated[ObjectKind, typer.Argument(help="Kind of the object.")],
     name: Annotated[str, typer.Argument(help="Name of the object.")],
-    revision: Annotated[int | None, typer.Option(help="Revision that it must have now.")] = None,
+    revision: Annotated[int | None, typer.Option(help="Required current revision.")] = None,
 ) -> None:
-    """Withdraws an object."""
+    """Deletes an object."""
     with exit_on_error():
         path = f"/v1/objects/{kind.value}/{name}"
         headers = {"If-Match": str(revision)} if revision is not None else None
         response = run_program(HttpCaller([server]).call("DELETE", path, headers=headers))
-        written = msgspec.json.decode(response.body, type=_Written)
-        typer.echo(f"{kind.value}/{name}: withdrawn at revision {written.revision}")
+        result = msgspec.json.decode(response.body, type=_WriteResult)
+        typer.echo(f"{kind.value}/{name}: deleted at revision {result.revision}")
 
 
 async def _read_status(caller: HttpCaller) -> Status:
@@ -205,7 +205,7 @@
 
 
 def status(server: ServerOption, output: OutputOption = Output.TABLE) -> None:
-    """Nodes, leader, revisions by zone, samplers by version, rounds with their progress."""
+    """Shows nodes, leader, revisions per zone, samplers and the progress of rounds."""
     with exit_on_error():
         current = run_program(_read_status(HttpCaller([server])))
         if output is Output.JSON:
@@ -215,7 +215,7 @@
 
 
 def _print_status(console: Console, current: Status) -> None:
-    lease = "holds" if current.lease_valid else "lapsed"
+    lease = "valid" if current.lease_valid else "expired"
     console.print(
         f"revision {current.revision}, in force {current.in_force}, configuration lease {lease}"
     )
@@ -226,9 +226,11 @@
     console.print(nodes)
     leader = current.leader
     if leader is None:
-        console.print("no leader answers")
+        console.print("no response from a leader")
         return
-    console.print(f"leader {leader.leader}, epoch {leader.epoch}, by zone {leader.zone_revisions}")
+    console.print(
+        f"leader {leader.leader}, epoch {leader.epoch}, revisions by zone {leader.zone_revisions}"
+    )
     rounds = Table("round", "version", "bound", "open", "under way", "ready", "handed over")
     for row in leader.rounds:
         numbers = (row.version, row.staleness_bound, row.open_slots, row.under_way, row.ready)
@@ -258,7 +260,7 @@
     prefix_key: Annotated[str, typer.Option(help="Prefix key of the request.")] = "",
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Why a lookup would go where, rule by rule and sampler by sampler."""
+    """Explains the routing decision for a lookup: applied rules and candidate samplers."""
     body = {
         "service": service,
         "tenant": tenant,
@@ -274,7 +276,7 @@
         console = Console()
         console.print(
             f"service {explanation.service}: pool {explanation.pool}, "
-            f"priority {explanation.priority}, goes to {explanation.chosen}"
+            f"priority {explanation.priority}, routed to {explanation.chosen}"
         )
         for rule in explanation.rules:
             console.print(f"  rule {rule}")
@@ -287,9 +289,11 @@
 
 def drain(
     server: ServerOption,
-    sampler: Annotated[str | None, typer.Option(help="A sampler; the node itself without.")] = None,
+    sampler: Annotated[
+        str | None, typer.Option(help="Id of a sampler; the node itself if omitted.")
+    ] = None,
 ) -> None:
-    """Drains the node that is asked, or a sampler. A drain sticks."""
+    """Drains the addressed node, or a sampler. A drain cannot be undone."""
     with exit_on_error():
         path = "/v1/drain" if sampler is None else f"/v1/samplers/{sampler}/drain"
         run_program(HttpCaller([server]).call("POST", path, {}))
--- a/stileloom/cli/quarantine.py
+++ b/stileloom/cli/quarantine.py
@@ -1,4 +1,4 @@
-"""`stileloom quarantine`: requests that are refused since samplers ended under them."""
+"""`stileloom quarantine`: requests that are rejected because they crashed samplers."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 from stileloom.settings_file import split_address
 
 CALL_TIMEOUT_S = 5.0
-"""An election takes up to two seconds."""
+"""Longer than an election, which takes up to two seconds."""
 NO_REVISION = -1
 
-Node = Annotated[list[str], typer.Option(help="A ledger node's address for calls, HOST:PORT.")]
+NodeOption = Annotated[list[str], typer.Option(help="Call address of a ledger node, HOST:PORT.")]
 
-app = typer.Typer(help="Requests that are refused since samplers ended under them.")
+app = typer.Typer(help="Manage requests that are rejected because they crashed samplers.")
 
 
 @app.command("list")
 def list_suspects(
-    node: Node, output: Annotated[str, typer.Option("-o", help="`text` or `json`.")] = "text"
+    node: NodeOption, output: Annotated[str, typer.Option("-o", help="`text` or `json`.")] = "text"
 ) -> None:
-    """Lists requests under which several samplers ended, and which of them are refused.
+    """Lists requests during which several samplers crashed, and whether they are quarantined.
 
     Example: stileloom quarantine list --node 10.0.0.7:7300
     """
     with exit_on_error():
         reply = _call(node, WatchQuarantineCall(NO_REVISION, 0.0))
         if not isinstance(reply, QuarantineListed) or reply.listing is None:
-            raise StileloomError(ErrorKind.INTERNAL, "unexpected answer of the ledger")
+            raise StileloomError(ErrorKind.INTERNAL, "unexpected response from the ledger")
         if output == "json":
             typer.echo(msgspec.json.encode(reply.listing).decode())
         else:
@@ -52,25 +52,30 @@
 
 @app.command()
 def release(
-    identity: Annotated[str, typer.Argument(help="As `list` and the logs name it.")], node: Node
+    identity: Annotated[
+        str, typer.Argument(help="Request identity, as shown by `list` and in logs.")
+    ],
+    node: NodeOption,
 ) -> None:
-    """Lets a request run again, once its cause is mended.
+    """Releases a request from quarantine, after the cause of the crashes has been fixed.
 
     Example: stileloom quarantine release 5a1f0c... --node 10.0.0.7:7300
     """
     with exit_on_error():
         reply = _call(node, ReleaseSuspectCall(identity))
         if not isinstance(reply, SuspectReleased):
-            raise StileloomError(ErrorKind.INTERNAL, "unexpected answer of the ledger")
+            raise StileloomError(ErrorKind.INTERNAL, "unexpected response from the ledger")
         if not reply.known:
-            raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"nothing is held against {identity}")
+            raise StileloomError(
+                ErrorKind.UNKNOWN_OBJECT, f"no crashes are recorded for {identity}"
+            )
         typer.echo(f"released {identity}")
 
 
 def render(listing: QuarantineListing) -> str:
-    """One line for each request."""
+    """Formats a listing, one line per request."""
     if not listing.suspects:
-        return "nothing is held against any request"
+        return "no crashes are recorded for any request"
     rows = []
     for summary in listing.suspects:
         state = f"refused, one run in {summary.trial_in_s:.0f} s" if summary.held else "watched"
--- a/stileloom/cli/scale.py
+++ b/stileloom/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stileloom scale`: what a node costs as the number of nodes grows."""
+"""`stileloom scale`: resource usage per node at increasing cluster sizes."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 from stileloom.clock import run_program
 from stileloom.emulator.scale import ScaleResult, ScaleRun
 
-STEPS = (50, 100, 200, 390)
+CLUSTER_SIZES = (50, 100, 200, 390)
 
 
 def scale(
     nodes: Annotated[int, typer.Option(help="Largest number of nodes.")] = 390,
-    window_s: Annotated[float, typer.Option(help="Seconds measured at each size.")] = 20.0,
+    window_s: Annotated[
+        float, typer.Option(help="Duration of the measurement at each size.")
+    ] = 20.0,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Runs hollow nodes beside three real daemons at 50, 100, 200 and 390 nodes.
+    """Measures hollow nodes with three real daemons, at 50, 100, 200 and 390 nodes by default.
 
     Example: stileloom scale --nodes 200 -o json
     """
-    sizes = [size for size in STEPS if size < nodes] + [nodes]
+    sizes = [size for size in CLUSTER_SIZES if size < nodes] + [nodes]
     results: list[ScaleResult] = []
     with exit_on_error():
         for size in sizes:
@@ -38,7 +40,7 @@
     if output is Output.JSON:
         typer.echo(msgspec.json.format(msgspec.json.encode(results), indent=2).decode())
         return
-    table = Table("measure", *[f"{result.nodes} nodes" for result in results])
+    table = Table("metric", *[f"{result.nodes} nodes" for result in results])
     for label, values in _rows(results).items():
         table.add_row(label, *values)
     Console(width=120).print(table)
--- a/stileloom/cli/services.py
+++ b/stileloom/cli/services.py
@@ -1,4 +1,4 @@
-"""`stileloom gateway` and `stileloom ledger-node`: the two programs of routes and batch jobs."""
+"""`stileloom gateway` and `stileloom ledger-node`: server processes for routes and batch jobs."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 from stileloom.service_settings import ServiceSettings
 from stileloom.settings_file import load_settings
 
-Config = Annotated[Path, typer.Option(help="Settings of the program (TOML).")]
+ConfigOption = Annotated[Path, typer.Option(help="Settings of the process (TOML).")]
 
 
-def gateway(config: Config) -> None:
-    """Runs a gateway for routes and batch jobs until SIGTERM, which drains it.
+def gateway(config: ConfigOption) -> None:
+    """Runs a gateway for routes and batch jobs until SIGTERM, then drains it.
 
     Example: stileloom gateway --config gateway.toml
     """
     with exit_on_error():
         settings = load_settings(config, ServiceSettings)
         configure_logs(settings.log.level, open_output_stream())
-        run_program(serve_gateway(settings, _store(settings), NativeDialect()))
+        run_program(serve_gateway(settings, _object_store(settings), NativeDialect()))
 
 
-def ledger_node(config: Config) -> None:
-    """Runs a ledger node: a replica of the jobs, and their runs while it leads.
+def ledger_node(config: ConfigOption) -> None:
+    """Runs a ledger node, which replicates the job ledger and runs the jobs while it is leader.
 
     Example: stileloom ledger-node --config ledger.toml
     """
     with exit_on_error():
         settings = load_settings(config, ServiceSettings)
         configure_logs(settings.log.level, open_output_stream())
-        run_program(serve_ledger_node(settings, _store(settings), NativeDialect()))
+        run_program(serve_ledger_node(settings, _object_store(settings), NativeDialect()))
 
 
-def _store(settings: ServiceSettings) -> NativeObjectStore:
+def _object_store(settings: ServiceSettings) -> NativeObjectStore:
     return NativeObjectStore(ObjectApi(settings.store))
 
 
 def register(app: typer.Typer) -> None:
-    """Adds the commands."""
+    """Registers the commands of this module."""
     app.command()(gateway)
     app.command()(ledger_node)
--- a/stileloom/cli/trace.py
+++ b/stileloom/cli/trace.py
@@ -1,4 +1,4 @@
-"""`stileloom trace`: the story of a request, job or item out of the logs."""
+"""`stileloom trace`: log lines related to a request, job or item."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 def trace(
     sought: Annotated[str, typer.Argument(help="Id of a request, job or item.")],
     files: Annotated[
-        list[Path] | None, typer.Argument(help="Logs; standard input if none.")
+        list[Path] | None, typer.Argument(help="Log files; standard input if none are given.")
     ] = None,
     output: Annotated[str, typer.Option("-o", help="`text` or `json`.")] = "text",
 ) -> None:
-    """Prints what all processes logged about an id, and what changed around it.
+    """Prints the log lines of all processes about an id, and related state changes.
 
     Example: stileloom trace 9c41d07be2a35f68 gateway.log ledger.log
     """
     with exit_on_error():
-        story = gather(sought, _lines(files or []))
-        if not story.lines:
-            raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"no line names {sought}")
+        result = gather(sought, _lines(files or []))
+        if not result.lines:
+            raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"no log line references {sought}")
         if output == "json":
-            typer.echo(msgspec.json.encode(story).decode())
+            typer.echo(msgspec.json.encode(result).decode())
         else:
-            typer.echo(render(story))
+            typer.echo(render(result))
 
 
 def _lines(files: list[Path]) -> Iterator[str]:
--- a/stileloom/client.py
+++ b/stileloom/client.py
@@ -1,7 +1,7 @@
-"""A typed client for trainers, callers and operators.
+"""Typed HTTP client for trainers, callers and operators.
 
-It tries the gateways it is given in turn. Every call of a trainer is idempotent, so it is
-repeated until it is answered or `give_up_s` is over.
+Fails over between the given gateways. Trainer calls are idempotent and are retried until they
+succeed, fail permanently or `give_up_s` has elapsed.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 REQUEST_TIMEOUT_S = 12.0
 CONNECT_TIMEOUT_S = 1.0
-RETRY_PAUSE_S = 0.2
-READ_WAIT_S = 5.0
+RETRY_DELAY_S = 0.2
+LONG_POLL_TIMEOUT_S = 5.0
 
 ResultType = TypeVar("ResultType")
 
 
 class HttpCaller:
-    """Sends requests to one gateway after another."""
+    """Sends requests to one gateway, and moves to the next one after a failure."""
 
     def __init__(self, gateways: list[str]) -> None:
         self._gateways = gateways
-        self._turn = 0
+        self._gateway_index = 0
         self._http = AsyncHTTPClient(force_instance=True, max_clients=512)
 
     async def call(
@@ -41,12 +41,12 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> HTTPResponse:
-        """One request to the next gateway.
+        """Sends one request to the current gateway.
 
-        Raises `StileloomError`: what the gateway answered, or PLATFORM_UNAVAILABLE with
-        outcome unknown (not_run where nothing could be sent) if it did not.
+        Raises `StileloomError`: the error returned by the gateway, or PLATFORM_UNAVAILABLE if there
+        was no valid response; its outcome is unknown, or not_run if the connection was refused.
         """
-        gateway = self._gateways[self._turn % len(self._gateways)]
+        gateway = self._gateways[self._gateway_index % len(self._gateways)]
         request = HTTPRequest(
             f"http://{gateway}{path}",
             method=method,
@@ -58,10 +58,10 @@
         try:
             return await self._http.fetch(request)
         except HTTPClientError as error:
-            self._turn += 1
-            raise _answered_error(error) from error
+            self._gateway_index += 1
+            raise _error_from_response(error) from error
         except OSError as error:
-            self._turn += 1
+            self._gateway_index += 1
             refused = isinstance(error, ConnectionRefusedError)
             outcome = Outcome.NOT_RUN if refused else Outcome.UNKNOWN
             raise StileloomError(ErrorKind.PLATFORM_UNAVAILABLE, str(error), outcome) from error
@@ -74,22 +74,25 @@
         body: object | None = None,
         give_up_s: float = 60.0,
     ) -> ResultType:
-        """Repeats an idempotent request. Raises the last `StileloomError`."""
-        give_up_at = steady_time() + give_up_s
+        """Retries an idempotent request.
+
+        Raises `StileloomError` on a permanent error, or the last error after `give_up_s`.
+        """
+        deadline = steady_time() + give_up_s
         while True:
             try:
                 response = await self.call(method, path, body)
                 return msgspec.json.decode(response.body, type=kind)
             except StileloomError as error:
                 status = error.answer.http_status
-                final = 400 <= status < 500 and error.kind is not ErrorKind.UNKNOWN_ROUND
-                if final or steady_time() >= give_up_at:
+                permanent = 400 <= status < 500 and error.kind is not ErrorKind.UNKNOWN_ROUND
+                if permanent or steady_time() >= deadline:
                     raise
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
 
 class TrainerClient:
-    """What a trainer needs of one round."""
+    """Client for the trainer of one round."""
 
     def __init__(self, gateways: list[str], round_name: str, give_up_s: float = 60.0) -> None:
         self._caller = HttpCaller(gateways)
@@ -97,29 +100,31 @@
         self._give_up_s = give_up_s
 
     async def submit_prompts(self, batch_id: str, prompts: list[PromptBody]) -> None:
-        """Adds prompts; a repeat with the same batch id adds nothing."""
+        """Submits prompts; idempotent for the same batch id."""
         body = PromptsBody(batch_id, prompts)
         await self._post("prompts", body)
 
     async def read(self, offset: int, count: int) -> DeliveriesResult:
-        """Waits until `count` deliveries from `offset` on are there."""
-        path = f"{self._path}/deliveries?offset={offset}&count={count}&wait_s={READ_WAIT_S}"
-        give_up_at = steady_time() + self._give_up_s
+        """Waits until `count` deliveries starting at `offset` are available."""
+        path = f"{self._path}/deliveries?offset={offset}&count={count}&wait_s={LONG_POLL_TIMEOUT_S}"
+        deadline = steady_time() + self._give_up_s
         while True:
             result = await self._caller.call_until_answered(
                 "GET", path, DeliveriesResult, give_up_s=self._give_up_s
             )
             if result.deliveries:
                 return result
-            if steady_time() >= give_up_at:
-                raise StileloomError(ErrorKind.OVERLOADED, "the batch did not become whole")
+            if steady_time() >= deadline:
+                raise StileloomError(
+                    ErrorKind.OVERLOADED, "the batch was not complete before the timeout"
+                )
 
     async def acknowledge(self, offset: int) -> None:
-        """The trainer keeps everything below `offset`."""
+        """Acknowledges all deliveries below `offset`."""
         await self._post("acknowledgements", {"offset": offset})
 
     async def publish_version(self, version: int) -> None:
-        """Makes a version the current one; its weights are in the store already."""
+        """Makes a version current; its weights must already be in the store."""
         await self._post("versions", {"version": version})
 
     async def _post(self, name: str, body: object) -> None:
@@ -128,7 +133,7 @@
 
 
 class LookupClient:
-    """Sends lookups; each is sent once, and the outcome is the caller's to act on."""
+    """Sends lookups without retries; callers decide how to handle the outcome."""
 
     def __init__(self, gateways: list[str]) -> None:
         self._caller = HttpCaller(gateways)
@@ -141,7 +146,7 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> LookupResult:
-        """One lookup. Raises `StileloomError` with its outcome."""
+        """Sends a lookup. Raises `StileloomError` with its outcome."""
         body = {"query": query, "max_tokens": max_tokens}
         response = await self._caller.call(
             "POST", f"/v1/services/{service}/lookup", body, headers, timeout_s
@@ -149,8 +154,8 @@
         return msgspec.json.decode(response.body, type=LookupResult)
 
 
-def _answered_error(error: HTTPClientError) -> StileloomError:
-    """The error of a problem document; anything else leaves the outcome unknown."""
+def _error_from_response(error: HTTPClientError) -> StileloomError:
+    """Decodes a problem document; without a valid one the outcome is unknown."""
     if error.response is None or not error.response.body:
         return StileloomError(ErrorKind.PLATFORM_UNAVAILABLE, str(error), Outcome.UNKNOWN)
     try:
--- a/stileloom/service_settings.py
+++ b/stileloom/service_settings.py
@@ -1,6 +1,6 @@
-"""Settings of a gateway or ledger node, read from a TOML file and checked strictly.
+"""Settings of a gateway or ledger node, loaded from TOML with strict validation.
 
-Values that bound waiting come from the deployment, so that no constant fits only one.
+Time limits are settings because they depend on the deployment.
 """
 
 from __future__ import annotations
@@ -17,64 +17,64 @@
 
 
 class TimeBounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds that the deployment states. Times are seconds."""
+    """Time limits of the deployment, in seconds."""
 
     sampler_drain_s: Positive = 2.0
-    """No request reaches a sampler so long after it was listed as leaving."""
+    """Time after a sampler is listed as leaving by which it receives no more requests."""
     configuration_s: Positive = 2.0
-    """A configuration is in force so long after the store took it."""
+    """Time after a configuration is stored by which it is in force."""
     stop_grace_s: Positive = 8.0
-    """A stopped process must have ended by then."""
+    """Time within which a stopped process must exit."""
     order_lease_s: NotNegative = 3.0
-    """Orders of two holders to one sampler are so far apart."""
+    """Minimum time between orders of different holders to one sampler."""
     job_retention_s: Positive = 120.0
-    """Results stay readable so long after the job was submitted."""
+    """Time after submission of a job for which its results stay readable."""
 
 
 class ServiceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All settings of a gateway or a ledger node."""
+    """Settings of a gateway or ledger node."""
 
     node_id: Name
     zone: str
     host: str
-    """IP number to be reached at."""
+    """Advertised IP address."""
     store: Address
-    """The object store."""
+    """Address of the object store."""
     bind_host: str = ""
-    """Ledger node: IP number to listen on, where that is not `host` (behind a translation)."""
+    """Ledger node: IP address to listen on if it differs from `host` (behind NAT)."""
     peers: list[Address] = msgspec.field(default_factory=list)
-    """Addresses of some ledger nodes; they may be stale."""
+    """Initial addresses of ledger nodes; may be stale."""
     front: str = ""
-    """Gateway: address for callers."""
+    """Gateway: listen address for callers."""
     ready: str = ""
-    """Gateway: address of the readiness answer."""
+    """Gateway: listen address of the readiness endpoint."""
     ledger: str = ""
-    """Ledger node: address for the other replicas."""
+    """Ledger node: listen address for other replicas."""
     calls_port: int = 0
-    """Ledger node: port for the calls of gateways; the same on all ledger nodes."""
+    """Ledger node: port for gateway calls; the same on all ledger nodes."""
     metrics_port: int = 0
-    """Port of `GET /metrics`; 0 for none."""
+    """Port of `GET /metrics`; 0 disables it."""
     data_folder: str = ""
-    """Ledger node: folder of its files."""
+    """Ledger node: data directory."""
     first_start: bool = False
-    """Whether the deployment starts for the first time, with empty disks."""
+    """Whether this is the first start of the deployment, with empty disks."""
     losses_borne: Annotated[int, msgspec.Meta(ge=0, le=4)] = 1
-    """Ledger nodes that may be lost at once; the voter set has twice as many and one."""
+    """Number of simultaneous ledger node failures to tolerate (f); the voter set has 2f + 1."""
     bounds: TimeBounds = TimeBounds()
     switches: Switches = Switches()
     log: LogSettings = LogSettings()
 
     @property
     def listen_host(self) -> str:
-        """IP number to listen on."""
+        """IP address to listen on."""
         return self.bind_host or self.host
 
     @property
     def voters(self) -> int:
-        """Size of the voter set."""
+        """Number of nodes in the voter set."""
         return 2 * self.losses_borne + 1
 
     @property
     def peer_call_addresses(self) -> list[tuple[str, int]]:
-        """Where the peers take calls: their own hosts, the deployment's port."""
+        """Call addresses of the peers: their hosts with `calls_port`."""
         return [(split_address(peer)[0], self.calls_port) for peer in self.peers]
--- a/stileloom/settings.py
+++ b/stileloom/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a node, read from a TOML file and checked strictly.
+"""Settings of a node, loaded from TOML with strict validation.
 
-An unknown key, a wrong type or a value out of range is refused with the path of the key and
-the file. Flags of the command line override single values. Units stand in the names.
+Unknown keys, wrong types and values out of range are rejected with the file and the path of the
+key. Command-line options override single values. Names include units.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     object_api: Address
     machine_list: Address
 
 
 class LedgerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The ledger; only nodes with a data folder keep a replica."""
+    """Ledger settings; only nodes with a data folder keep a replica."""
 
     data_folder: str = ""
-    """Folder for the ledger's files; empty on nodes that keep nothing."""
+    """Data directory of the ledger; empty on nodes without a replica."""
     voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 3
-    """Size of the voter set; the same on every node."""
+    """Number of voters; the same on every node."""
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -50,9 +50,9 @@
     """TCP port for callers, trainers and operators."""
     platform: PlatformSettings
     host: str = "127.0.0.1"
-    """IP number to listen on and to be reached at."""
+    """IP address to listen on and to advertise."""
     seeds: list[Address] = msgspec.field(default_factory=list)
-    """Internal addresses of a few other nodes, asked at the start."""
+    """Internal addresses of other nodes, used to join."""
     scheduler: SchedulerKind = SchedulerKind.DEFAULT
     ledger: LedgerSettings = LedgerSettings()
     limits: LimitSettings = LimitSettings()
--- a/stileloom/settings_file.py
+++ b/stileloom/settings_file.py
@@ -1,4 +1,4 @@
-"""Reading of settings files, and the value types that all settings share."""
+"""Loading of settings files, and value types shared by all settings."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Address = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
-"""An IP number and a port, `10.0.0.7:7400`."""
+"""IP address and port, such as `10.0.0.7:7400`."""
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=63, pattern=r"^[a-z0-9][a-z0-9.-]*$")]
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Logs go to standard error as JSON lines."""
+    """Settings of the structured logs."""
 
     level: Annotated[str, msgspec.Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
@@ -27,10 +27,10 @@
 def load_settings(
     path: Path, kind: type[SettingsType], overrides: dict[str, object] | None = None
 ) -> SettingsType:
-    """Reads and checks a settings file.
+    """Loads and validates a settings file.
 
-    `overrides` are top-level values from flags; None means not given. Raises
-    `StileloomError` of kind SETTINGS_INVALID that names the file and the key's path.
+    `overrides` are top-level values from command-line options; None means not given. Raises
+    `StileloomError` of kind SETTINGS_INVALID with the file and the path of the key.
     """
     try:
         raw = msgspec.toml.decode(path.read_bytes())
@@ -38,14 +38,14 @@
         raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{path}: {error.strerror}") from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{path}: {error}") from error
-    given = {key: value for key, value in (overrides or {}).items() if value is not None}
+    overridden = {key: value for key, value in (overrides or {}).items() if value is not None}
     try:
-        return msgspec.convert({**raw, **given}, kind)
+        return msgspec.convert({**raw, **overridden}, kind)
     except msgspec.ValidationError as error:
         raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{path}: {error}") from error
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address. Raises `ValueError` where there is no port."""
+    """Splits an address into host and port. Raises `ValueError` if the port is missing."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/stileloom/trace.py
+++ b/stileloom/trace.py
@@ -1,8 +1,8 @@
-"""From a request's id to its story: gathers log lines of all processes around one id.
+"""Collects the log lines of all processes that relate to one id.
 
-Lines are JSON as the processes write them, with anything before the first brace ignored. A
-line belongs to the story if it names the id; a state change belongs to it if it happened at
-a process or sampler of the story, shortly before or during it.
+Input lines are JSON; anything before the first brace is ignored. A trace contains the lines that
+reference the id, and state changes of the nodes and samplers involved from shortly before the
+first of these lines to the last.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from stileloom.errors import ErrorKind
 
 ID_FIELDS = ("request", "job", "item", "reward", "target", "identity")
-"""A line that names a reward call leads from its item to the lines of that call."""
+"""Fields that hold ids. `reward` links an item to the lines of its reward call."""
 QUARANTINED = ErrorKind.QUARANTINED.value
-"""A refusal of this kind leads to all lines of the same request under other ids."""
+"""Error code of quarantined requests, which are traced by identity across request ids."""
 STATE_EVENTS = frozenset(
     {
         "node_started",
@@ -44,32 +44,32 @@
         "store_regained",
     }
 )
-LEDGER_EVENTS = frozenset({"leader_elected", "leader_stepped_down", "controller_started"})
-"""Who leads concerns every job, whichever node says it."""
-BEFORE_S = 4.0
-"""State changes so long before the first line of the story still count."""
+LEADERSHIP_EVENTS = frozenset({"leader_elected", "leader_stepped_down", "controller_started"})
+"""Events that are relevant to every trace, whichever node logs them."""
+LOOKBACK_S = 4.0
+"""State changes up to this long before the first direct line are included."""
 
 
 class TraceLine(msgspec.Struct, frozen=True):
-    """One log line of the story."""
+    """One log line of a trace."""
 
     at: datetime.datetime
     node: str
     event: str
     fields: dict[str, object]
     direct: bool
-    """Whether the line names the id; else it is a state change beside it."""
+    """Whether the line relates to the id itself; otherwise it is a related state change."""
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """The story of one id."""
+    """Log lines related to one id, in chronological order."""
 
     sought: str
     lines: list[TraceLine]
 
 
 def parse(text: str) -> TraceLine | None:
-    """A log line, or None where the text is none."""
+    """Parses a log line; returns None if it is not a valid event."""
     start = text.find("{")
     if start < 0:
         return None
@@ -82,51 +82,51 @@
 
 
 def gather(sought: str, texts: Iterable[str]) -> Trace:
-    """The story of an id out of the lines of any number of processes."""
+    """Builds the trace of an id from the log lines of any number of processes."""
     lines = [line for text in texts if (line := parse(text)) is not None]
-    rewards = {
+    reward_ids = {
         str(line.fields["reward"])
         for line in lines
-        if "reward" in line.fields and _names(line, sought)
+        if "reward" in line.fields and _references(line, sought)
     }
-    suspects = {
+    identities = {
         str(line.fields["identity"])
         for line in lines
-        if line.fields.get("code") == QUARANTINED and _names(line, sought)
+        if line.fields.get("code") == QUARANTINED and _references(line, sought)
     }
     direct = [
         msgspec.structs.replace(line, direct=True)
         for line in lines
-        if _names(line, sought)
-        or line.fields.get("request") in rewards
-        or line.fields.get("identity") in suspects
+        if _references(line, sought)
+        or line.fields.get("request") in reward_ids
+        or line.fields.get("identity") in identities
     ]
     if not direct:
         return Trace(sought, [])
     nodes = {line.node for line in direct}
     samplers = {str(line.fields["sampler"]) for line in direct if "sampler" in line.fields}
-    begin = min(line.at for line in direct) - datetime.timedelta(seconds=BEFORE_S)
+    start = min(line.at for line in direct) - datetime.timedelta(seconds=LOOKBACK_S)
     end = max(line.at for line in direct)
-    beside = [
+    state_changes = [
         line
         for line in lines
         if line.event in STATE_EVENTS
-        and begin <= line.at <= end
-        and not _names(line, sought)
-        and _concerns(line, nodes, samplers)
+        and start <= line.at <= end
+        and not _references(line, sought)
+        and _is_relevant(line, nodes, samplers)
     ]
-    return Trace(sought, sorted(direct + beside, key=lambda line: line.at))
+    return Trace(sought, sorted(direct + state_changes, key=lambda line: line.at))
 
 
-def _names(line: TraceLine, sought: str) -> bool:
+def _references(line: TraceLine, sought: str) -> bool:
     if any(line.fields.get(field) == sought for field in ID_FIELDS):
         return True
     items = line.fields.get("items")
     return isinstance(items, list) and sought in items
 
 
-def _concerns(line: TraceLine, nodes: set[str], samplers: set[str]) -> bool:
-    if line.event in LEDGER_EVENTS:
+def _is_relevant(line: TraceLine, nodes: set[str], samplers: set[str]) -> bool:
+    if line.event in LEADERSHIP_EVENTS:
         return True
     if "sampler" in line.fields:
         return line.fields["sampler"] in samplers
@@ -134,23 +134,23 @@
 
 
 def render(trace: Trace) -> str:
-    """The story as text: seconds from its first own line, node, event, fields."""
+    """Formats a trace as text; times are relative to the first direct line."""
     if not trace.lines:
-        return f"no line names {trace.sought}"
+        return f"no log line references {trace.sought}"
     origin = min(line.at for line in trace.lines if line.direct)
     rows = [f"{trace.sought}: from {origin.isoformat()}"]
     for line in trace.lines:
         offset_s = (line.at - origin).total_seconds()
-        mark = " " if line.direct else "~"
+        marker = " " if line.direct else "~"
         fields = " ".join(
-            f"{name}={_short(value)}"
+            f"{name}={_truncate(value)}"
             for name, value in line.fields.items()
             if name not in ("number", "level") and value != trace.sought
         )
-        rows.append(f"{mark}{offset_s:+9.3f} s  {line.node:<22} {line.event:<20} {fields}")
+        rows.append(f"{marker}{offset_s:+9.3f} s  {line.node:<22} {line.event:<20} {fields}")
     return "\n".join(rows)
 
 
-def _short(value: object) -> str:
+def _truncate(value: object) -> str:
     text = str(value)
     return text if len(text) <= 80 else text[:77] + "..."
