--- a/examples/embed_ledger.py
+++ b/examples/embed_ledger.py
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Drives three parts with a loop instead of sockets and disks."""
+    """Delivers messages between three replicas in a loop instead of over sockets and disks."""
     voters = [Voter(name, f"disk-{name}") for name in ("red", "green", "blue")]
     replicas = {
         voter.node_id: LedgerReplica(voter, fresh_ledger(voters), random.Random(number), 0.0)
@@ -21,22 +21,22 @@
     now = 0.0
     while applied < 5:
         now += 0.05
-        waiting = []
+        pending = []
         for name, replica in replicas.items():
-            waiting += [(name, effect) for effect in replica.tick(now)]
+            pending += [(name, effect) for effect in replica.tick(now)]
             if replica.role is ReplicaRole.LEADER and proposed < 5:
                 proposed += 1
                 effects = replica.propose(now, RaiseConfigurationFloor(proposed), proposed)
-                waiting += [(name, effect) for effect in effects]
-        while waiting:
-            name, effect = waiting.pop(0)
+                pending += [(name, effect) for effect in effects]
+        while pending:
+            name, effect = pending.pop(0)
             if isinstance(effect, Send):
                 replies = replicas[effect.to].handle(now, name, effect.message)
-                waiting += [(effect.to, reply) for reply in replies]
+                pending += [(effect.to, reply) for reply in replies]
             elif isinstance(effect, Persist):
-                # A real driver writes to a disk first.
-                released = replicas[name].persisted(now, effect.write_id)
-                waiting += [(name, reply) for reply in released]
+                # A real driver writes to disk first.
+                effects = replicas[name].persisted(now, effect.write_id)
+                pending += [(name, effect) for effect in effects]
             elif isinstance(effect, Applied):
                 applied += 1
     leader = next(r for r in replicas.values() if r.role is ReplicaRole.LEADER)
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""The examples of docs/EMBEDDING.md run and say what they should."""
+"""The examples of docs/EMBEDDING.md run and print the expected output."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ExampleTest(testtools.TestCase):
-    """Each example is run as a program."""
+    """Runs each example as a script."""
 
     def run_example(self, name: str) -> str:
-        """Its output."""
+        """Runs an example and returns its standard output."""
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             runpy.run_path(str(EXAMPLES / name), run_name="__main__")
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Mechanisms that settings switch off: each is off then, and nothing else is."""
+"""Each feature switch disables its mechanism and no other."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Switches in the settings file."""
+    """Loading of switches from a settings file."""
 
     def load(self, text: str) -> ServiceSettings:
-        """Settings from a file."""
+        """Loads settings from a file with this text appended."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.toml"
             path.write_text(SETTINGS + text)
@@ -51,10 +51,10 @@
 
 
 class SchedulerSwitchTest(testtools.TestCase):
-    """Items and loads."""
+    """Switches of the item scheduler and the version planner."""
 
     def desk(self, **off: bool) -> Desk:
-        """A fast and a slow sampler, with some mechanisms off."""
+        """A scheduler with a fast and a slow sampler and the given switches."""
         desk = Desk(entry("fast", slots=4), entry("slow", slots=4))
         switches = msgspec.structs.replace(Switches(), **off)
         desk.scheduler = ItemScheduler(desk.samplers, {"fast": 0.04, "slow": 0.05}, switches)
@@ -64,26 +64,26 @@
         return desk
 
     def placed(self, desk: Desk, items: int) -> list[str]:
-        """Where items of falling length start."""
+        """The samplers on which items of decreasing length start."""
         sizes = {f"j-i{n}": ItemSize(9000.0 - n) for n in range(items)}
         desk.adopt(record("j", items), sizes=sizes)
-        placed = desk.starts()
-        return [placed[f"j-i{n}"] for n in range(items)]
+        starts = desk.starts()
+        return [starts[f"j-i{n}"] for n in range(items)]
 
     def test_fastest_first(self) -> None:
         self.assertEqual(["fast"] * 3, self.placed(self.desk(), 3))
         self.assertIn("slow", self.placed(self.desk(fastest_first=False), 3))
 
     def test_group_bonus(self) -> None:
-        for on, cost_is_less in ((True, True), (False, False)):
+        for on, cost_is_lower in ((True, True), (False, False)):
             desk = self.desk(group_bonus=on)
             desk.adopt(record("j", 1))
             (item,) = desk.scheduler.items.values()
-            belief = desk.samplers.get("fast")
-            assert belief is not None
-            before = desk.scheduler._cost(item, belief)
+            sampler = desk.samplers.get("fast")
+            assert sampler is not None
+            before = desk.scheduler._cost(item, sampler)
             desk.scheduler.pace("fast").groups.add(item.item.group)
-            self.assertEqual(cost_is_less, desk.scheduler._cost(item, belief) < before)
+            self.assertEqual(cost_is_lower, desk.scheduler._cost(item, sampler) < before)
 
     def test_kept_texts(self) -> None:
         for on in (True, False):
@@ -100,11 +100,11 @@
             self.assertEqual(on, bool(desk.scheduler.share_out(SERVICE, ["m", "other"])))
 
     def test_loads(self) -> None:
-        late = SETTLE_S + 1
+        after_settling = SETTLE_S + 1
         for name, expected in (("parallel_loads", 1), ("evacuation", 2)):
             desk = self.desk(**{name: False})
             desk.planner.named("m", 2, 0.0)
-            self.assertEqual(expected, len(desk.loads(late)), name)
+            self.assertEqual(expected, len(desk.loads(after_settling)), name)
 
     def test_without_evacuation_runs_stay_while_work_needs_the_load(self) -> None:
         for on in (True, False):
@@ -121,7 +121,7 @@
 
 
 class OtherSwitchTest(testtools.TestCase):
-    """Gateways, frames and the ledger."""
+    """Switches of gateways, frames and the ledger."""
 
     def test_hedging(self) -> None:
         plan = AttemptPlan("s", "z", True, 3, 0.2, 0.0)
@@ -145,13 +145,13 @@
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(1, None)
         recovered.entries = [Entry(1, 1, StartEpoch("a"))]
-        due = []
+        election_times = []
         for on in (True, False):
             switches = Switches(restart_head_start=on)
             replica = LedgerReplica(VOTERS[0], recovered, random.Random(1), 0.0, 3, switches)
-            due.append(next(n for n in range(400) if replica.tick(n * 0.01)) * 0.01)
-        self.assertLess(due[0], 0.3)
-        self.assertGreater(due[1], 0.7)
+            election_times.append(next(n for n in range(400) if replica.tick(n * 0.01)) * 0.01)
+        self.assertLess(election_times[0], 0.3)
+        self.assertGreater(election_times[1], 0.7)
 
     def test_a_table_sets_each_switch_against_all_on(self) -> None:
         def played(switch: str, seed: int, worth: float | None, broken: str = "") -> Played:
