--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -65,7 +65,7 @@
         "CLOCK_BOOTTIME",
         "CLOCK_MONOTONIC",
         "tests/test_clock.py::SuspendedLeaderTest"
-        "::test_a_leader_that_slept_past_its_lease_may_not_act_when_it_wakes",
+        "::test_a_leader_may_not_act_after_a_suspend_longer_than_its_lease",
     ),
     Mutant(
         "dead samplers are asked again and again",
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -19,7 +19,7 @@
 class TickerTest(testtools.TestCase):
     """Ticks are independent of the wall clock."""
 
-    def test_a_step_of_the_time_of_day_does_not_stop_the_ticks(self) -> None:
+    def test_a_wall_clock_step_does_not_stop_the_ticker(self) -> None:
         """Heartbeats must continue after the wall clock steps forward and back."""
         wall_clock = time.time
 
@@ -49,7 +49,7 @@
 class BackgroundTasksTest(testtools.TestCase):
     """Exceptions of tasks are logged."""
 
-    def test_a_fault_is_logged(self) -> None:
+    def test_an_exception_is_logged(self) -> None:
         configure_logs("critical")
         log = EventLog("n")
         events: list[str] = []
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -38,7 +38,7 @@
 class SuspendedLeaderTest(testtools.TestCase):
     """A ledger leader after a suspend longer than its lease."""
 
-    def test_a_leader_that_slept_past_its_lease_may_not_act_when_it_wakes(self) -> None:
+    def test_a_leader_may_not_act_after_a_suspend_longer_than_its_lease(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
@@ -55,7 +55,7 @@
 class SuspendedLoopTest(testtools.TestCase):
     """Event loop timers across a suspend."""
 
-    def test_a_timer_that_came_due_in_a_sleep_fires_at_the_wake(self) -> None:
+    def test_a_timer_due_during_suspend_fires_after_resume(self) -> None:
         async def run() -> bool:
             fired = asyncio.Event()
             asyncio.get_running_loop().call_later(SUSPEND_S / 2, fired.set)
@@ -66,7 +66,7 @@
 
         self.assertTrue(run_program(run()))
 
-    def test_programs_run_on_the_loop_whose_timers_count_the_sleep(self) -> None:
+    def test_run_program_uses_the_suspend_aware_loop(self) -> None:
         async def run() -> type:
             return type(asyncio.get_running_loop())
 
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -19,23 +19,25 @@
 )
 from stileloom.trace import gather, render
 
-FLOOD = 10_000
+LINE_COUNT = 10_000
 
 
-class BudgetTest(testtools.TestCase):
+class RateLimitTest(testtools.TestCase):
     """Rate limit per event type."""
 
-    def test_a_flood_is_cut_and_counted_and_other_events_still_pass(self) -> None:
+    def test_excess_lines_are_suppressed_and_counted_per_event(self) -> None:
         limiter = LineRateLimiter()
-        admitted = sum(limiter.allow(LogEvent.ATTEMPT_FAILED, 1.0) for _ in range(FLOOD))
+        admitted = sum(limiter.allow(LogEvent.ATTEMPT_FAILED, 1.0) for _ in range(LINE_COUNT))
         self.assertEqual(OTHER_LINES_PER_S * BURST_S, admitted)
-        self.assertEqual(FLOOD - admitted, limiter.suppressed_total)
+        self.assertEqual(LINE_COUNT - admitted, limiter.suppressed_total)
         self.assertTrue(limiter.allow(LogEvent.LEADER_ELECTED, 1.0))
-        self.assertEqual({"attempt_failed": FLOOD - admitted}, limiter.take_suppressed_counts(2.0))
+        self.assertEqual(
+            {"attempt_failed": LINE_COUNT - admitted}, limiter.take_suppressed_counts(2.0)
+        )
         self.assertIsNone(limiter.take_suppressed_counts(3.0))
         self.assertTrue(limiter.allow(LogEvent.ATTEMPT_FAILED, 2.0))
 
-    def test_the_count_is_told_by_a_line(self) -> None:
+    def test_suppressed_lines_are_reported_in_the_log(self) -> None:
         read, write = os.pipe()
         configure_logs("info", OutputStream(write))
         self.addCleanup(configure_logs, "error")
@@ -56,7 +58,7 @@
 class OutputStreamTest(testtools.TestCase):
     """Output to a blocked or closed pipe."""
 
-    def test_a_blocked_output_stops_nothing_and_is_counted(self) -> None:
+    def test_lines_to_a_blocked_output_are_dropped_and_counted(self) -> None:
         read, write = os.pipe()
         self.addCleanup(os.close, read)
         self.addCleanup(os.close, write)
@@ -66,7 +68,7 @@
             stream.write(line)
         self.assertGreater(stream.dropped_total, 900)
 
-    def test_lines_stay_whole(self) -> None:
+    def test_lines_are_never_truncated(self) -> None:
         read, write = os.pipe()
         stream = OutputStream(write)
         for number in range(4000):
@@ -80,7 +82,7 @@
         for line in rest.splitlines()[1:]:
             json.loads(line)
 
-    def test_a_closed_output_stops_nothing(self) -> None:
+    def test_a_line_to_a_closed_output_is_dropped_and_counted(self) -> None:
         read, write = os.pipe()
         stream = OutputStream(write)
         os.close(read)
@@ -99,7 +101,7 @@
 class TraceTest(testtools.TestCase):
     """Log lines related to an id."""
 
-    def test_own_lines_and_state_changes_around_them_in_order(self) -> None:
+    def test_direct_lines_and_related_state_changes_in_order(self) -> None:
         texts = [
             line(10.0, "g1", "attempt_failed", request="r1", sampler="s1"),
             line(9.0, "l1", "sampler_unlisted", sampler="s1", sign="entry removed"),
@@ -118,7 +120,7 @@
         )
         self.assertIn("code=overloaded", render(trace))
 
-    def test_a_quarantined_request_leads_to_the_samplers_that_ended_under_it(self) -> None:
+    def test_a_quarantined_request_is_traced_to_the_samplers_that_it_crashed(self) -> None:
         texts = [
             line(1.0, "g1", "sampler_probed", request="r1", identity="x", sampler="s1"),
             line(1.5, "l1", "request_held", identity="x", ends=["s1"]),
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -40,13 +40,13 @@
             path.write_text(SETTINGS + text)
             return load_settings(path, ServiceSettings)
 
-    def test_all_are_on_unless_one_is_switched_off_by_its_name(self) -> None:
+    def test_switches_are_on_by_default_and_disabled_individually(self) -> None:
         self.assertEqual(Switches(), self.load("").switches)
         for name in Switches.__struct_fields__:
             expected = msgspec.structs.replace(Switches(), **{name: False})
             self.assertEqual(expected, self.load(f"[switches]\n{name} = false\n").switches)
 
-    def test_a_name_that_is_none_is_refused(self) -> None:
+    def test_an_unknown_name_is_rejected(self) -> None:
         self.assertRaises(StileloomError, self.load, "[switches]\nmove = false\n")
 
 
@@ -106,7 +106,7 @@
             desk.planner.named("m", 2, 0.0)
             self.assertEqual(expected, len(desk.loads(after_settling)), name)
 
-    def test_without_evacuation_runs_stay_while_work_needs_the_load(self) -> None:
+    def test_without_evacuation_runs_are_retained_during_a_required_load(self) -> None:
         for on in (True, False):
             desk = self.desk(evacuation=on)
             self.placed(desk, 1)
@@ -153,7 +153,7 @@
         self.assertLess(election_times[0], 0.3)
         self.assertGreater(election_times[1], 0.7)
 
-    def test_a_table_sets_each_switch_against_all_on(self) -> None:
+    def test_the_report_compares_each_switch_with_the_baseline(self) -> None:
         def played(switch: str, seed: int, worth: float | None, broken: str = "") -> Played:
             return Played(Play(switch, "x/site.toml", "d", seed), worth, broken)
 
