--- a/stileloom/service_settings.py
+++ b/stileloom/service_settings.py
@@ -37,7 +37,7 @@
     node_id: Name
     zone: str
     host: str
-    """Advertised IP address."""
+    """IP address to advertise, and to listen on unless `bind_host` is set."""
     store: Address
     """Address of the object store."""
     bind_host: str = ""
@@ -49,7 +49,7 @@
     ready: str = ""
     """Gateway: listen address of the readiness endpoint."""
     ledger: str = ""
-    """Ledger node: listen address for other replicas."""
+    """Ledger node: advertised address for other replicas."""
     calls_port: int = 0
     """Ledger node: port for gateway calls; the same on all ledger nodes."""
     metrics_port: int = 0
--- a/stileloom/switches.py
+++ b/stileloom/switches.py
@@ -46,7 +46,7 @@
     evacuation: bool = True
     """Move runs to other samplers before their own sampler loads a version."""
     order_windows: bool = True
-    """Delay a new leader's orders relative to the last order window; if off, to its election."""
+    """Measure a new leader's order delay from the last order window; if off, from its election."""
 
     # Ledger.
     standbys: bool = True
