--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -54,8 +54,7 @@
         "stileloom/transport/calls.py",
         "            async with asyncio.timeout(timeout_s):\n                return await future\n",
         "            return await asyncio.wait_for(future, timeout_s)\n",
-        f"{CANCELLATION}::CancelledWatchTest"
-        "::test_a_watcher_that_is_stopped_with_a_reply_follows_no_more",
+        f"{CANCELLATION}::CancelledWatchTest::test_a_watcher_cancelled_with_a_reply_stops",
     ),
     Mutant(
         "the clock stands still while the machine is suspended",
@@ -64,7 +63,7 @@
         "CLOCK_BOOTTIME",
         "CLOCK_MONOTONIC",
         "tests/test_clock.py::SuspendedLeaderTest"
-        "::test_a_leader_that_slept_past_its_lease_may_not_act_when_it_wakes",
+        "::test_a_leader_may_not_act_after_a_suspend_longer_than_its_lease",
     ),
     Mutant(
         "dead samplers are asked again and again",
@@ -331,7 +330,7 @@
         "bytes behind an answer are taken for the next one",
         "whole answers (routes)",
         "stileloom/http1/connection.py",
-        "            if self._decoder.has_excess:\n                self._reusable = False\n",
+        "            if self._decoder.has_trailing_data:\n                self._reusable = False\n",
         "",
         "tests/test_http1.py",
     ),
@@ -448,15 +447,15 @@
         "tests/test_ledger.py",
     ),
     Mutant(
-        "a cache passes on what it did not hear of lately",
+        "a cache serves data that it has not confirmed recently",
         "configuration in force",
         "stileloom/daemon/store_cache.py",
-        "return steady_time() < self._behind_at(followed)",
-        "return followed.watcher.synced_at is not None",
+        "return steady_time() < self._stale_at(cached)",
+        "return cached.watcher.synced_at is not None",
         "tests/test_store_cache.py",
     ),
     Mutant(
-        "a list from a cache may go back",
+        "a list from a cache may be older than one read before",
         "a stated leave sticks",
         "stileloom/daemon/cached_store.py",
         "if isinstance(reply, ObjectsListed) and reply.page.store_revision >= seen:",
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Mechanisms that settings switch off: each is off then, and nothing else is."""
+"""Each feature switch disables its mechanism and no other."""
 
 from __future__ import annotations
 
@@ -31,30 +31,30 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Switches in the settings file."""
+    """Loading of switches from a settings file."""
 
     def load(self, text: str) -> ServiceSettings:
-        """Settings from a file."""
+        """Loads settings from a file with this text appended."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.toml"
             path.write_text(SETTINGS + text)
             return load_settings(path, ServiceSettings)
 
-    def test_all_are_on_unless_one_is_switched_off_by_its_name(self) -> None:
+    def test_switches_are_on_by_default_and_disabled_individually(self) -> None:
         self.assertEqual(Switches(), self.load("").switches)
         for name in Switches.__struct_fields__:
             expected = msgspec.structs.replace(Switches(), **{name: False})
             self.assertEqual(expected, self.load(f"[switches]\n{name} = false\n").switches)
 
-    def test_a_name_that_is_none_is_refused(self) -> None:
+    def test_an_unknown_name_is_rejected(self) -> None:
         self.assertRaises(StileloomError, self.load, "[switches]\nmove = false\n")
 
 
 class SchedulerSwitchTest(testtools.TestCase):
-    """Items and loads."""
+    """Switches of the item scheduler and the version planner."""
 
     def fixture(self, **off: bool) -> SchedulerFixture:
-        """A fast and a slow sampler, with some mechanisms off."""
+        """A scheduler with a fast and a slow sampler and the given switches."""
         fixture = SchedulerFixture(entry("fast", slots=4), entry("slow", slots=4))
         switches = msgspec.structs.replace(Switches(), **off)
         fixture.scheduler = ItemScheduler(fixture.samplers, {"fast": 0.04, "slow": 0.05}, switches)
@@ -64,26 +64,26 @@
         return fixture
 
     def placed(self, fixture: SchedulerFixture, items: int) -> list[str]:
-        """Where items of falling length start."""
+        """The samplers on which items of decreasing length start."""
         sizes = {f"j-i{n}": ItemSize(9000.0 - n) for n in range(items)}
         fixture.adopt(record("j", items), sizes=sizes)
-        placed = fixture.starts()
-        return [placed[f"j-i{n}"] for n in range(items)]
+        starts = fixture.starts()
+        return [starts[f"j-i{n}"] for n in range(items)]
 
     def test_fastest_first(self) -> None:
         self.assertEqual(["fast"] * 3, self.placed(self.fixture(), 3))
         self.assertIn("slow", self.placed(self.fixture(fastest_first=False), 3))
 
     def test_group_bonus(self) -> None:
-        for on, cost_is_less in ((True, True), (False, False)):
+        for on, cost_is_lower in ((True, True), (False, False)):
             fixture = self.fixture(group_bonus=on)
             fixture.adopt(record("j", 1))
             (item,) = fixture.scheduler.items.values()
-            tracked = fixture.samplers.get("fast")
-            assert tracked is not None
-            before = fixture.scheduler._cost(item, tracked)
+            sampler = fixture.samplers.get("fast")
+            assert sampler is not None
+            before = fixture.scheduler._cost(item, sampler)
             fixture.scheduler.stats("fast").groups.add(item.item.group)
-            self.assertEqual(cost_is_less, fixture.scheduler._cost(item, tracked) < before)
+            self.assertEqual(cost_is_lower, fixture.scheduler._cost(item, sampler) < before)
 
     def test_kept_texts(self) -> None:
         for on in (True, False):
@@ -100,13 +100,13 @@
             self.assertEqual(on, bool(fixture.scheduler.assign_models(SERVICE, ["m", "other"])))
 
     def test_loads(self) -> None:
-        late = LOAD_DELAY_S + 1
+        after_settling = LOAD_DELAY_S + 1
         for name, expected in (("parallel_loads", 1), ("evacuation", 2)):
             fixture = self.fixture(**{name: False})
             fixture.planner.set_target("m", 2, 0.0)
-            self.assertEqual(expected, len(fixture.loads(late)), name)
+            self.assertEqual(expected, len(fixture.loads(after_settling)), name)
 
-    def test_without_evacuation_runs_stay_while_work_needs_the_load(self) -> None:
+    def test_without_evacuation_runs_are_retained_during_a_required_load(self) -> None:
         for on in (True, False):
             fixture = self.fixture(evacuation=on)
             self.placed(fixture, 1)
@@ -121,7 +121,7 @@
 
 
 class OtherSwitchTest(testtools.TestCase):
-    """Gateways, frames and the ledger."""
+    """Switches of gateways, frames and the ledger."""
 
     def test_hedging(self) -> None:
         plan = AttemptPlan("s", "z", True, 3, 0.2, 0.0)
@@ -145,15 +145,15 @@
         recovered = empty_ledger(VOTERS)
         recovered.hard_state = HardState(1, None)
         recovered.entries = [Entry(1, 1, StartEpoch("a"))]
-        due = []
+        election_times = []
         for on in (True, False):
             switches = Switches(restart_head_start=on)
             replica = LedgerReplica(VOTERS[0], recovered, random.Random(1), 0.0, 3, switches)
-            due.append(next(n for n in range(400) if replica.tick(n * 0.01)) * 0.01)
-        self.assertLess(due[0], 0.3)
-        self.assertGreater(due[1], 0.7)
+            election_times.append(next(n for n in range(400) if replica.tick(n * 0.01)) * 0.01)
+        self.assertLess(election_times[0], 0.3)
+        self.assertGreater(election_times[1], 0.7)
 
-    def test_a_table_sets_each_switch_against_all_on(self) -> None:
+    def test_the_report_compares_each_switch_with_the_baseline(self) -> None:
         def played(switch: str, seed: int, worth: float | None, broken: str = "") -> Played:
             return Played(Play(switch, "x/site.toml", "d", seed), worth, broken)
 
