--- a/stileloom/emulator/engine_model.py
+++ b/stileloom/emulator/engine_model.py
@@ -182,7 +182,7 @@
             self._start(request)
 
     def _start(self, request: GenerateRequest) -> None:
-        length = natural_length(request.prompt, request.max_tokens, self.parameters)
+        length = generated_length(request.prompt, request.max_tokens, self.parameters)
         start = self._steps + self._prefill_steps(request)
         sequence = _Sequence(request, max(length, request.first_token), start, request.first_token)
         self._running[request.request_id] = sequence
@@ -227,7 +227,7 @@
         is_waiting = any(entry[2].request_id == request_id for entry in self._waiting)
         return [] if is_waiting else None
 
-    def ended_ids(self) -> list[str]:
+    def unfetched_ids(self) -> list[str]:
         """Returns the ids of finished generations whose output has not been fetched."""
         return list(self._finished)
 
@@ -354,7 +354,7 @@
         )
 
 
-def natural_length(prompt: str, max_tokens: int, parameters: EngineParameters) -> int:
+def generated_length(prompt: str, max_tokens: int, parameters: EngineParameters) -> int:
     """Returns the number of tokens generated for a prompt, at most `max_tokens`.
 
     A prompt that starts with `len:N|` gets N tokens. Any other gets a log-normal length derived
--- a/stileloom/emulator/http_sampler.py
+++ b/stileloom/emulator/http_sampler.py
@@ -27,21 +27,21 @@
 class SamplerFaults(msgspec.Struct):
     """Faults injected into a sampler."""
 
-    cut_after_events: int | None = None
+    disconnect_after_events: int | None = None
     """Number of events after which the connection of a stream is closed."""
     fail_status: int | None = None
     """Requests are run and answered with this status."""
     refuse: bool = False
     """Requests are refused with the header that says they were not run."""
-    silent: bool = False
+    unresponsive: bool = False
     """Requests are accepted and never answered."""
     work_s: float = 0.0
     """Duration of a lookup."""
-    ends_at: frozenset[str] = frozenset()
+    crash_targets: frozenset[str] = frozenset()
     """Requests to these targets crash the sampler."""
-    ends_after_s: float = 0.005
+    crash_delay_s: float = 0.005
     """Delay between the start of such a request and the crash."""
-    resets_at: frozenset[str] = frozenset()
+    reset_targets: frozenset[str] = frozenset()
     """Requests to these targets have their connection closed; the sampler keeps running."""
 
 
@@ -60,7 +60,7 @@
     """Current and highest number of concurrent lookups."""
 
     running: int = 0
-    most_running: int = 0
+    max_running: int = 0
 
 
 def expected_events(item_id: str, count: int) -> list[str]:
@@ -78,17 +78,17 @@
         self.model_versions = dict(model_versions)
         self.faults = SamplerFaults()
         self.runs: list[RunRecord] = []
-        self.whole_at: dict[str, float] = {}
+        self.completed_at: dict[str, float] = {}
         """By request id, when the last event was first sent, on the steady clock. An item may run
         again after a change of leader."""
         self.gauge = WorkGauge()
         """Running lookups; samplers of one service may share it."""
         self.orders: list[LoadOrder] = []
-        self.always_ends_at: frozenset[str] = frozenset()
-        """Like `SamplerFaults.ends_at`, but kept when `faults` is replaced."""
-        self.on_end: Callable[[], None] = lambda: None
+        self.permanent_crash_targets: frozenset[str] = frozenset()
+        """Like `SamplerFaults.crash_targets`, but kept when `faults` is replaced."""
+        self.on_crash: Callable[[], None] = lambda: None
         """Called when a request crashes the sampler, before its connections are closed."""
-        self.ended_by = ""
+        self.crashed_by = ""
         """Target of the newest request at the time of a crash; empty before a crash."""
         self._names = HeaderNames()
         self._events = events
@@ -112,11 +112,11 @@
 
     async def _crash(self) -> None:
         """Simulates a crash: stops listening and closes all connections."""
-        if self.ended_by:
+        if self.crashed_by:
             return
         current = asyncio.current_task()
-        self.ended_by = self.runs[-1].target
-        self.on_end()
+        self.crashed_by = self.runs[-1].target
+        self.on_crash()
         self._server.stop()
         for task in self._tasks:
             if task is not current:
@@ -165,15 +165,15 @@
         after_event = int(after) if after is not None else None
         target = request.uri or ""
         self.runs.append(RunRecord(request_id, target, request.body, after_event, steady_time()))
-        if target in self.faults.ends_at | self.always_ends_at:
-            await asyncio.sleep(self.faults.ends_after_s)
+        if target in self.faults.crash_targets | self.permanent_crash_targets:
+            await asyncio.sleep(self.faults.crash_delay_s)
             await self._crash()
             return
-        if target in self.faults.resets_at:
+        if target in self.faults.reset_targets:
             assert request.connection is not None
             request.connection.stream.close()  # type: ignore[attr-defined]
             return
-        if self.faults.silent:
+        if self.faults.unresponsive:
             return
         headers = {names.request_id: request_id, names.signature: f"{self.sampler_id}/{request_id}"}
         if self.faults.fail_status is not None:
@@ -186,7 +186,7 @@
     async def _run_lookup(self, request: HTTPServerRequest, headers: dict[str, str]) -> None:
         """Runs a lookup or a reward call and counts it in the gauge."""
         self.gauge.running += 1
-        self.gauge.most_running = max(self.gauge.most_running, self.gauge.running)
+        self.gauge.max_running = max(self.gauge.max_running, self.gauge.running)
         try:
             await asyncio.sleep(self.faults.work_s)
         finally:
@@ -205,7 +205,7 @@
         events = expected_events(request_id, self._events)
         for number, data in enumerate(events[after:], start=after + 1):
             await asyncio.sleep(EVENT_INTERVAL_S)
-            cut = self.faults.cut_after_events
+            cut = self.faults.disconnect_after_events
             if cut is not None and number - after > cut:
                 connection.stream.close()  # type: ignore[attr-defined]
                 return
@@ -213,7 +213,7 @@
             change = f"{self._names.versions.lower()}: {current}\n" if current != version else ""
             version = current
             connection.write(f"{change}id: {number}\ndata: {data}\n\n".encode())
-        self.whole_at.setdefault(request_id, steady_time())
+        self.completed_at.setdefault(request_id, steady_time())
         connection.finish()
 
     def _reply(
--- a/stileloom/emulator/lookup_load.py
+++ b/stileloom/emulator/lookup_load.py
@@ -14,8 +14,8 @@
 from stileloom.emulator.deployment import LookupDescription
 from stileloom.emulator.engine_model import (
     EngineParameters,
+    generated_length,
     make_tokens,
-    natural_length,
     token_content,
 )
 from stileloom.errors import Outcome, StileloomError
@@ -105,6 +105,6 @@
             self.counts.unknown += 1
 
     def _is_correct(self, query: str, result: LookupResult) -> bool:
-        length = natural_length(query, self._description.max_tokens, self._engine)
+        length = generated_length(query, self._description.max_tokens, self._engine)
         expected = [token_content(token) for token in make_tokens(query, 0, length, 0)]
         return [token_content(token) for token in result.tokens] == expected
--- a/stileloom/simulator/callers.py
+++ b/stileloom/simulator/callers.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from stileloom.effects import Effect
-from stileloom.emulator.engine_model import EngineParameters, natural_length
+from stileloom.emulator.engine_model import EngineParameters, generated_length
 from stileloom.errors import Outcome
 from stileloom.routing import AnswerReady, LookupAnswer, LookupRequest
 from stileloom.simulator.machine import MachineDirectory
@@ -113,7 +113,7 @@
     ) -> None:
         parameters = self._parameters
         machine = self._directory.machines[node_id]
-        length = natural_length(prompt, parameters.max_tokens, self._engine)
+        length = generated_length(prompt, parameters.max_tokens, self._engine)
         self._oracle.sent(LookupFact(request_id, prompt, length, repeatable, key))
         self.totals.sent += 1
         self._open[request_id] = self._world.now
--- a/stileloom/simulator/engines.py
+++ b/stileloom/simulator/engines.py
@@ -119,7 +119,7 @@
         if self._world.now >= self._next_poll_at:
             due = list(self._readers)
         else:
-            due = [rid for rid in self.model.ended_ids() if rid in self._readers]
+            due = [rid for rid in self.model.unfetched_ids() if rid in self._readers]
         for request_id in due:
             self._pass_on(request_id)
         self._schedule()
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -178,8 +178,8 @@
         if versions and earlier:
             versions = {MODEL: max(s.model_versions[MODEL] for s in earlier)}
         sampler = HttpSampler(name, versions, EVENTS)
-        sampler.always_ends_at = self.poison_targets
-        sampler.on_end = lambda: self.stop_listening(name)
+        sampler.permanent_crash_targets = self.poison_targets
+        sampler.on_crash = lambda: self.stop_listening(name)
         self.samplers[name] = sampler
         self._record.samplers.append(sampler)
         port = sampler.listen(HOST)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -256,10 +256,10 @@
         sampler = self._deployment.samplers[name]
         sampler.faults = self._rng.choice(
             [
-                SamplerFaults(cut_after_events=self._rng.randint(0, 5)),
+                SamplerFaults(disconnect_after_events=self._rng.randint(0, 5)),
                 SamplerFaults(fail_status=500),
                 SamplerFaults(refuse=True),
-                SamplerFaults(silent=True),
+                SamplerFaults(unresponsive=True),
             ]
         )
         told = f"{name}: {sampler.faults}"
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -49,7 +49,7 @@
         """A sampler that ended is replaced by another after a while, as a platform would."""
         while not self.stopped:
             for name, sampler in list(self._deployment.samplers.items()):
-                if not sampler.ended_by:
+                if not sampler.crashed_by:
                     continue
                 self.ended += 1
                 self._record.counts["samplers ended"] += 1
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -139,11 +139,11 @@
 
     def _judge_rewards(self) -> None:
         """No reward call reaches a sampler before the last event of its item was made."""
-        whole_at: dict[str, float] = {}
+        completed_at: dict[str, float] = {}
         for sampler in self.samplers:
-            for item_id, at in sampler.whole_at.items():
-                whole_at[item_id] = min(at, whole_at.get(item_id, at))
-        first = {reward_id(item_id): at for item_id, at in whole_at.items()}
+            for item_id, at in sampler.completed_at.items():
+                completed_at[item_id] = min(at, completed_at.get(item_id, at))
+        first = {reward_id(item_id): at for item_id, at in completed_at.items()}
         for sampler in self.samplers:
             for run in sampler.runs:
                 if not run.request_id.startswith(reward_id("")):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -99,7 +99,7 @@
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.samplers["chart-1"].stop()
             if crashes_sampler:
-                cluster.samplers["chart-2"].faults.ends_at = frozenset({"/charts/7"})
+                cluster.samplers["chart-2"].faults.crash_targets = frozenset({"/charts/7"})
             else:
                 await cluster.samplers["chart-2"].stop()
             with mock.patch.object(SamplerConnection, "open", counted):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -32,13 +32,13 @@
     cluster: ServiceCluster, service: str = "charts", poison: str = POISON
 ) -> int:
     """Replaces each crashed sampler by one with a new id; returns how many there were."""
-    crashed = [name for name, sampler in cluster.samplers.items() if sampler.ended_by]
+    crashed = [name for name, sampler in cluster.samplers.items() if sampler.crashed_by]
     for name in crashed:
         await cluster.unlist(name)
         del cluster.samplers[name]
         successor = f"{name}+"
         await cluster.add_sampler(successor, service)
-        cluster.samplers[successor].faults.ends_at = frozenset({poison})
+        cluster.samplers[successor].faults.crash_targets = frozenset({poison})
         await cluster.until_listed(successor)
     return len(crashed)
 
@@ -59,7 +59,7 @@
 
 async def quarantine_poison(cluster: ServiceCluster) -> None:
     """Sends the poison request until every gateway refuses it."""
-    set_faults(cluster, ends_at=frozenset({POISON}))
+    set_faults(cluster, crash_targets=frozenset({POISON}))
     for number in range(3):
         await send_poison(cluster, number, gateway=0)
         await replace_crashed(cluster)
@@ -79,7 +79,7 @@
 
     def test_a_poison_lookup_crashes_at_most_three_samplers_in_the_whole_fleet(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            set_faults(cluster, ends_at=frozenset({POISON}))
+            set_faults(cluster, crash_targets=frozenset({POISON}))
             crashed = 0
             for number in range(ARRIVALS):
                 await send_poison(cluster, number, gateway=number % 2)
@@ -94,7 +94,7 @@
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.add_sampler("chart-3", "charts")
             await cluster.until_listed("chart-3")
-            set_faults(cluster, ends_at=frozenset({POISON}))
+            set_faults(cluster, crash_targets=frozenset({POISON}))
             answer = await send_poison(cluster, 0, gateway=0)
             self.assertEqual(502, answer.code)
             for gateway in cluster.gateways:
@@ -127,7 +127,7 @@
     def test_another_body_or_another_caller_is_another_request(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await quarantine_poison(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             answer = await cluster.call("POST", POISON, b"y", request_id="other-body")
             self.assertEqual(200, answer.code)
             answer = await cluster.call(
@@ -171,7 +171,7 @@
     def test_an_operator_releases_a_quarantined_request(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await quarantine_poison(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             gateway = cluster.gateways[0]
             (identity,) = gateway._guard.view._listed
             reply: JobReply = await gateway._jobs.call(ReleaseSuspectCall(identity), "test", 5.0)
@@ -189,11 +189,11 @@
 
     def test_connection_resets_by_running_samplers_do_not_count_as_crashes(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            set_faults(cluster, resets_at=frozenset({"/charts/cut"}))
+            set_faults(cluster, reset_targets=frozenset({"/charts/cut"}))
             for number in range(6):
                 await cluster.call("POST", "/charts/cut", b"x", number % 2, request_id=f"r{number}")
             self.assertGreater(runs_of(cluster, "/charts/cut"), 6)
-            set_faults(cluster, resets_at=frozenset())
+            set_faults(cluster, reset_targets=frozenset())
             answer = await cluster.call("POST", "/charts/cut", b"x", request_id="last")
             self.assertEqual(200, answer.code)
             self.assertTrue(
@@ -217,13 +217,13 @@
                 )
 
             for turn in range(2):
-                set_faults(cluster, ends_at=frozenset({POISON}))
+                set_faults(cluster, crash_targets=frozenset({POISON}))
                 for sampler in cluster.samplers.values():
                     sampler.faults.work_s = 0.1
                 calls = [send(number, turn) for number in range(200)]
                 await asyncio.gather(*calls, send_poison(cluster, turn, gateway=turn))
                 await replace_crashed(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             for number in range(200):
                 answer = await send(number, 9)
                 self.assertEqual(200, answer.code, answer.body)
@@ -239,7 +239,7 @@
             target = "/drafts/poison"
 
             for sampler in cluster.samplers.values():
-                sampler.faults.ends_at = frozenset({target})
+                sampler.faults.crash_targets = frozenset({target})
             answer = await cluster.submit("job", ["poison", "good-1", "good-2"])
             self.assertEqual(202, answer.code)
             leader = cluster.leader()
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -82,28 +82,28 @@
             results = await cluster.results("job", 8)
             self.check_scores(results)
             self.assertEqual(results, await cluster.results("job", 8, gateway=1))
-            whole_at: dict[str, float] = {}
+            completed_at: dict[str, float] = {}
             for sampler in samplers(cluster, DRAFTERS):
-                whole_at |= sampler.whole_at
+                completed_at |= sampler.completed_at
             for call in runs_at(cluster, SCORERS):
                 item = call.request_id.removeprefix("score-")
                 self.assertEqual(f"/charts/score/{item}", call.target)
                 self.assertEqual(b"text", call.body)
-                self.assertGreaterEqual(call.started_at, whole_at[item])
+                self.assertGreaterEqual(call.started_at, completed_at[item])
 
         with_cluster(scenario)
 
     def test_a_full_or_unresponsive_scoring_service_delays_results_and_loses_none(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            full, silent = samplers(cluster, SCORERS)
+            full, unresponsive = samplers(cluster, SCORERS)
             full.faults.refuse = True
-            silent.faults.silent = True
+            unresponsive.faults.unresponsive = True
             items = items_named(6)
             await cluster.submit("job", items, rewards=True)
             await cluster.until(lambda: len(runs_at(cluster, ("chart-2",))) > 0)
             await cluster.until(lambda: len({r.request_id for r in runs_at(cluster, DRAFTERS)}) > 5)
             full.faults.refuse = False
-            silent.faults.silent = False
+            unresponsive.faults.unresponsive = False
             self.check_scores(await cluster.results("job", 6))
             self.assertEqual(6, len(runs_at(cluster, DRAFTERS)), "an item ran again")
 
@@ -257,7 +257,7 @@
                 sampler.gauge = gauge
             await cluster.submit("job", items_named(40), rewards=True)
             self.check_scores(await cluster.results("job", 40))
-            self.assertEqual(int(2 * SLOTS * MAX_SLOT_SHARE), gauge.most_running)
+            self.assertEqual(int(2 * SLOTS * MAX_SLOT_SHARE), gauge.max_running)
 
         with_cluster(scenario)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -59,7 +59,7 @@
 
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("chart-1", "chart-2"):
-                cluster.samplers[name].faults.silent = True
+                cluster.samplers[name].faults.unresponsive = True
             details: list[str] = []
             log = cluster.gateways[0].front._log
 
@@ -179,7 +179,7 @@
     def test_a_broken_stream_is_resumed_where_the_route_allows_it(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("draft-1", "draft-2"):
-                cluster.samplers[name].faults.cut_after_events = 2
+                cluster.samplers[name].faults.disconnect_after_events = 2
             answer = await self.stream(cluster, resumable=True, max_attempts=9)
             assert answer is not None
             self.assertEqual((200, self.complete_body()), (answer.code, answer.body))
@@ -191,7 +191,7 @@
     def test_a_broken_stream_is_never_reported_as_complete(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             for name in ("draft-1", "draft-2"):
-                cluster.samplers[name].faults.cut_after_events = 2
+                cluster.samplers[name].faults.disconnect_after_events = 2
             self.assertIsNone(await self.stream(cluster))
             runs = sum(len(sampler.runs) for sampler in cluster.samplers.values())
             self.assertEqual(1, runs)
@@ -227,7 +227,7 @@
 
     def test_broken_streams_are_resumed_into_one_text(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            cluster.samplers["draft-1"].faults.cut_after_events = 2
+            cluster.samplers["draft-1"].faults.disconnect_after_events = 2
             items = [f"i{number}" for number in range(8)]
             await cluster.submit("job", items)
             self.check_texts(await cluster.results("job", 8))
--- a/tests/test_soak_parts.py
+++ b/tests/test_soak_parts.py
@@ -163,7 +163,7 @@
         record = Record()
         sampler = HttpSampler("s", {"m": 1})
         record.samplers.append(sampler)
-        sampler.whole_at["a"] = 2.0
+        sampler.completed_at["a"] = 2.0
         sampler.runs.append(RunRecord(reward_id("a"), "/score", b"", None, started_at=1.0))
         record.judge_samplers()
         self.assertEqual(["rewards are asked for whole texts"], self.broken(record))
@@ -184,7 +184,7 @@
             seen: list[float] = []
             for _ in range(2):
                 await client.fetch(url, method="POST", body=b"", headers=headers)
-                seen.append(sampler.whole_at["a"])
+                seen.append(sampler.completed_at["a"])
             await sampler.stop()
             return seen[0], seen[1]
 
