--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -39,7 +39,7 @@
 DRAIN_NOTICE_S = 2.5
 """How long a draining gateway accepts requests, so that load balancers can redirect callers."""
 LOOKUP_INTERVAL_S = 1.0
-SUSPECTS_PATIENCE_S = 1.0
+QUARANTINE_LIST_TIMEOUT_S = 1.0
 """How long readiness waits for the list of quarantined requests. Lookups must be served even
 without a leader, so the gateway then becomes ready without the list."""
 MAX_HEADER_BYTES = 65_536
@@ -153,7 +153,7 @@
 
     def _quarantine_known(self) -> bool:
         """Whether the list of quarantined requests is known or waiting for it has timed out."""
-        timed_out = steady_time() > self._created_at + SUSPECTS_PATIENCE_S
+        timed_out = steady_time() > self._created_at + QUARANTINE_LIST_TIMEOUT_S
         return timed_out or self._guard.view.revision >= 0
 
     def stop(self) -> None:
--- a/stileloom/daemon/ledger_driver.py
+++ b/stileloom/daemon/ledger_driver.py
@@ -91,7 +91,7 @@
         leader = self.replica.leader
         if leader is None:
             return None
-        if leader == self.replica.me.node_id:
+        if leader == self.replica.local_voter.node_id:
             return (self._local_sender.host, self._local_sender.port)
         return self._addresses.address_of(leader)
 
@@ -101,7 +101,9 @@
 
     def needs_peer_lookup(self) -> bool:
         """Whether a voter's address or the leader is unknown."""
-        others = [voter.node_id for voter in self.replica.voters if voter != self.replica.me]
+        others = [
+            voter.node_id for voter in self.replica.voters if voter != self.replica.local_voter
+        ]
         unknown = any(self._addresses.address_of(node_id) is None for node_id in others)
         return unknown or self.replica.leader is None
 
@@ -127,7 +129,7 @@
 
     def _send_hello(self) -> None:
         """Announces a learner without a known leader to all known addresses."""
-        hello = LearnerHello(self.replica.me)
+        hello = LearnerHello(self.replica.local_voter)
         for address in self._addresses.all_addresses():
             self._network.send(address, hello)
 
--- a/stileloom/daemon/ledger_start.py
+++ b/stileloom/daemon/ledger_start.py
@@ -142,7 +142,7 @@
         registration = LedgerRegistration(
             ledger=self._settings.ledger,
             calls=f"{self._settings.host}:{self._settings.calls_port}",
-            disk=self._driver.replica.me.disk_id,
+            disk=self._driver.replica.local_voter.disk_id,
         )
         spec = msgspec.to_builtins(registration)
         page = await self._store.list_objects(self._kind)
--- a/stileloom/ledger/bootstrap.py
+++ b/stileloom/ledger/bootstrap.py
@@ -26,12 +26,12 @@
 
 
 def join_voter_set(
-    current: VoterSetRecord | None, me: Voter, target_count: int
+    current: VoterSetRecord | None, local_voter: Voter, target_count: int
 ) -> VoterSetRecord | None:
     """The record that replaces `current`, or None if no write is needed."""
     if current is None:
-        return VoterSetRecord(target_count, [me])
-    if current.sealed or me in current.voters:
+        return VoterSetRecord(target_count, [local_voter])
+    if current.sealed or local_voter in current.voters:
         return None
-    others = [voter for voter in current.voters if voter.node_id != me.node_id]
-    return VoterSetRecord(current.target_count, [*others, me])
+    others = [voter for voter in current.voters if voter.node_id != local_voter.node_id]
+    return VoterSetRecord(current.target_count, [*others, local_voter])
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        me: Voter,
+        local_voter: Voter,
         recovered: RecoveredLedger,
         rng: random.Random,
         now: float,
         target_voters: int = 3,
         switches: Switches = ALL_ON,
     ) -> None:
-        self.me = me
+        self.local_voter = local_voter
         self.role = ReplicaRole.FOLLOWER
         self.epoch = recovered.hard_state.epoch
         self.leader: str | None = None
@@ -125,13 +125,13 @@
         """Entries that the slowest voting follower lacks; 0 if this replica is not the leader."""
         if self.role is not ReplicaRole.LEADER:
             return 0
-        others = [voter for voter in self.voters if voter != self.me]
+        others = [voter for voter in self.voters if voter != self.local_voter]
         return max((self._log.last_index - self._match_index(v) for v in others), default=0)
 
     @property
     def is_voter(self) -> bool:
         """Whether this replica, with its current disk, is in the voter set."""
-        return self.me in self.voters
+        return self.local_voter in self.voters
 
     def is_active_leader(self, now: float) -> bool:
         """Whether this replica leads, holds its lease and has applied an entry of its epoch."""
@@ -150,7 +150,7 @@
     def lease_expires_at(self, now: float) -> float:
         """When the leader's lease expires unless it is confirmed again."""
         return self._electorate().lease_expires_at(
-            lambda names: self._lease.expires_at(self.me.node_id, names, now)
+            lambda names: self._lease.expires_at(self.local_voter.node_id, names, now)
         )
 
     # Entry points.
@@ -218,7 +218,7 @@
 
         Source: Ongaro's dissertation, section 3.10.
         """
-        followers = [v for v in self.voters if v != self.me and v in self._progress]
+        followers = [v for v in self.voters if v != self.local_voter and v in self._progress]
         if self.role is not ReplicaRole.LEADER or not followers:
             return []
         successor = max(followers, key=self._match_index)
@@ -239,7 +239,7 @@
         a lease, so it may send orders immediately.
         """
         if self._previous_leader and now < self._restarted_at + constants.RESTART_PERIOD_S:
-            if self._previous_leader == self.me.node_id:
+            if self._previous_leader == self.local_voter.node_id:
                 return constants.RESTART_ELECTION_RETRY_INTERVAL_S
             return self._rng.uniform(
                 constants.RESTART_ELECTION_MIN_S, constants.RESTART_ELECTION_MAX_S
@@ -251,19 +251,19 @@
     ) -> list[Effect]:
         self._election_due_at = now + self._election_timeout(now)
         self._in_pre_vote = pre_vote
-        self._votes = {self.me}
+        self._votes = {self.local_voter}
         effects: list[Effect] = []
         requested_epoch = self.epoch + 1
         if not pre_vote:
             self.role = ReplicaRole.CANDIDATE
             self.leader = None
             self.epoch = requested_epoch
-            self._voted_for = self.me
+            self._voted_for = self.local_voter
             effects += self._persist_hard_state()
             effects.append(Emit(LogEvent.ELECTION_STARTED, {"epoch": self.epoch}))
         request = VoteRequest(
             requested_epoch,
-            self.me,
+            self.local_voter,
             self._log.last_index,
             self._log.last_epoch,
             pre_vote,
@@ -273,7 +273,7 @@
             [
                 Send(voter.node_id, request)
                 for voter in self._electorate().members
-                if voter != self.me
+                if voter != self.local_voter
             ]
         )
         return effects + self._count_votes(now)
@@ -305,7 +305,7 @@
                 self._voted_for = message.candidate
                 self._election_due_at = now + self._election_timeout(now)
                 effects += self._persist_hard_state()
-        reply = VoteReply(message.epoch, self.me, granted, message.trial)
+        reply = VoteReply(message.epoch, self.local_voter, granted, message.trial)
         return effects + self._when_durable([Send(message.candidate.node_id, reply)])
 
     def _on_vote_reply(self, now: float, message: VoteReply) -> list[Effect]:
@@ -329,14 +329,14 @@
         self.role = ReplicaRole.LEADER
         self._previous_leader = ""
         self._leader_since = now
-        self.leader = self.me.node_id
+        self.leader = self.local_voter.node_id
         self._lease.clear()
         self._progress = {
             voter: FollowerProgress(self._log.last_index + 1)
             for voter in self._electorate().members
-            if voter != self.me
+            if voter != self.local_voter
         }
-        start = Entry(self._log.last_index + 1, self.epoch, StartEpoch(self.me.node_id))
+        start = Entry(self._log.last_index + 1, self.epoch, StartEpoch(self.local_voter.node_id))
         effects = self._append([start])
         self._next_heartbeat_at = now + constants.LEDGER_HEARTBEAT_INTERVAL_S
         effects.append(Emit(LogEvent.LEADER_ELECTED, {"epoch": self.epoch}))
@@ -403,7 +403,7 @@
         progress.expected_nonce = self._nonce
         progress.snapshot_sent_at = now
         progress.next_index = snapshot.last_index + 1
-        install = SnapshotRequest(self.epoch, self.me, snapshot, self._nonce)
+        install = SnapshotRequest(self.epoch, self.local_voter, snapshot, self._nonce)
         return [Send(follower.node_id, install)]
 
     def _send_entries(
@@ -426,7 +426,7 @@
         assert previous_epoch is not None
         request = AppendRequest(
             self.epoch,
-            self.me,
+            self.local_voter,
             previous,
             previous_epoch,
             entries,
@@ -488,7 +488,7 @@
         return self._apply(now)
 
     def _match_index(self, voter: Voter) -> int:
-        if voter == self.me:
+        if voter == self.local_voter:
             return self._durable_index
         progress = self._progress.get(voter)
         return progress.match_index if progress is not None else 0
@@ -505,7 +505,7 @@
         A voter removed by the newest change keeps voting, because a node that does not know that
         the change is committed may need its vote.
         """
-        return self.is_voter or self.me in self._log.voters_before_change
+        return self.is_voter or self.local_voter in self._log.voters_before_change
 
     @property
     def _may_campaign(self) -> bool:
@@ -529,12 +529,12 @@
     def _on_identity_question(self, sender: str, message: IdentityQuestion) -> list[Effect]:
         if self.is_voter:
             return []
-        return [Send(sender, LearnerHello(self.me, message.number))]
+        return [Send(sender, LearnerHello(self.local_voter, message.number))]
 
     def _on_hello(self, now: float, message: LearnerHello) -> list[Effect]:
         for voter in self.voters:
             same_node = voter.node_id == message.learner.node_id
-            if same_node and voter not in (message.learner, self.me):
+            if same_node and voter not in (message.learner, self.local_voter):
                 nonce = self._lost_disk_detector.handle_hello(voter, message.answer_to)
                 if nonce is not None:
                     return [Send(message.learner.node_id, IdentityQuestion(nonce))]
@@ -549,7 +549,7 @@
 
     def _announce_leader(self, standby: Voter) -> Effect:
         """An empty append request at index 0: it names the leader and commits nothing."""
-        request = AppendRequest(self.epoch, self.me, 0, 0, [], 0, self._nonce)
+        request = AppendRequest(self.epoch, self.local_voter, 0, 0, [], 0, self._nonce)
         return Send(standby.node_id, request)
 
     def _send_hello(self, now: float) -> list[Effect]:
@@ -559,8 +559,8 @@
         targets = {voter.node_id for voter in self.voters}
         if self.leader is not None and self.has_leader_contact(now):
             targets = {self.leader}
-        hello = LearnerHello(self.me)
-        return [Send(target, hello) for target in sorted(targets - {self.me.node_id})]
+        hello = LearnerHello(self.local_voter)
+        return [Send(target, hello) for target in sorted(targets - {self.local_voter.node_id})]
 
     def _voter_health(self, now: float) -> VoterHealth:
         oldest_contact_at = now - constants.VOTER_RESPONSE_TIMEOUT_S
@@ -650,7 +650,7 @@
 
     def _on_append_request(self, now: float, message: AppendRequest) -> list[Effect]:
         if message.epoch < self.epoch:
-            reply = AppendReply(self.epoch, self.me, False, 0, message.nonce)
+            reply = AppendReply(self.epoch, self.local_voter, False, 0, message.nonce)
             return [Send(message.leader.node_id, reply)]
         effects = self._follow(now, message.epoch, message.leader.node_id)
         previous = message.previous_index
@@ -658,14 +658,14 @@
         compacted = previous < self._log.base_index
         if not compacted and self._log.epoch_at(previous) != message.previous_epoch:
             hint = self._conflict_hint(previous)
-            reply = AppendReply(self.epoch, self.me, False, hint, message.nonce)
+            reply = AppendReply(self.epoch, self.local_voter, False, hint, message.nonce)
             return effects + self._when_durable([Send(message.leader.node_id, reply)])
         match_index = previous + len(message.entries)
         # Updated first, so that the entries and the commit index are persisted in one write.
         self._commit_index = max(self._commit_index, min(message.commit_index, match_index))
         effects += self._append_missing_entries(message.entries)
         effects += self._apply(now)
-        reply = AppendReply(self.epoch, self.me, True, match_index, message.nonce)
+        reply = AppendReply(self.epoch, self.local_voter, True, match_index, message.nonce)
         return effects + self._when_durable([Send(message.leader.node_id, reply)])
 
     def _conflict_hint(self, previous: int) -> int:
@@ -690,7 +690,7 @@
 
     def _on_snapshot_request(self, now: float, message: SnapshotRequest) -> list[Effect]:
         if message.epoch < self.epoch:
-            reply = AppendReply(self.epoch, self.me, False, 0, message.nonce)
+            reply = AppendReply(self.epoch, self.local_voter, False, 0, message.nonce)
             return [Send(message.leader.node_id, reply)]
         effects = self._follow(now, message.epoch, message.leader.node_id)
         snapshot = message.snapshot
@@ -703,7 +703,7 @@
             after = snapshot.last_index + 1 if len(self._log) == 0 else None
             effects += self._persist(Persist(0, truncate_from=after, snapshot=snapshot))
             effects.append(Emit(LogEvent.SNAPSHOT_INSTALLED, {"index": snapshot.last_index}))
-        reply = AppendReply(self.epoch, self.me, True, snapshot.last_index, message.nonce)
+        reply = AppendReply(self.epoch, self.local_voter, True, snapshot.last_index, message.nonce)
         return effects + self._when_durable([Send(message.leader.node_id, reply)])
 
     # Applying and persisting.
@@ -734,10 +734,10 @@
     def _on_voters_applied(self, now: float) -> list[Effect]:
         if self.role is not ReplicaRole.LEADER:
             return []
-        if self.me not in self.voters:
+        if self.local_voter not in self.voters:
             return self._step_down(now, self.epoch)
         for voter in self.voters:
-            if voter != self.me:
+            if voter != self.local_voter:
                 self._progress.setdefault(voter, FollowerProgress(self._log.last_index + 1))
         return []
 
--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -35,7 +35,7 @@
 MODEL = "drafts"
 ATTEMPTS = 3
 BOUNDS = TimeBounds(stop_grace_s=4.0, order_lease_s=0.3)
-GIVE_UP_S = 30.0
+TIMEOUT_S = 30.0
 
 
 def configuration(version: int, **changes: Any) -> dict[str, Any]:
@@ -104,9 +104,9 @@
         for number in range(self._gateway_count):
             self.start_gateway(f"gateway-{number}")
         for gateway in self.gateways:
-            await self.until(lambda: gateway.directory.complete)  # noqa: B023
-            await self.until(lambda: len(gateway.directory.samplers.of_service("charts")) == 2)  # noqa: B023
-        await self.until(lambda: self.leader() is not None)
+            await self.wait_until(lambda: gateway.directory.complete)  # noqa: B023
+            await self.wait_until(lambda: len(gateway.directory.samplers.of_service("charts")) == 2)  # noqa: B023
+        await self.wait_until(lambda: self.leader() is not None)
         return self
 
     async def __aexit__(self, *exc: object) -> None:
@@ -129,12 +129,12 @@
         for task in others:
             task.cancel()
         if others:
-            _, remaining = await asyncio.wait(others, timeout=GIVE_UP_S)
+            _, remaining = await asyncio.wait(others, timeout=TIMEOUT_S)
             assert not remaining, f"tasks still running after cancellation: {remaining}"
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition is true. Raises `TimeoutError`."""
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 self._raise_task_errors()
                 await asyncio.sleep(0.01)
@@ -149,16 +149,16 @@
         """Writes an object without a revision check, as an operator or trainer does."""
         await self.api.write(kind, name, None, f"{kind}/{name}", spec)
 
-    async def unlist(self, name: str) -> None:
+    async def remove_sampler_entry(self, name: str) -> None:
         """Removes a sampler's entry and waits until every gateway has applied the removal."""
         await self.api.write("samplers", name, None, f"unlist/{name}", None)
         for gateway in self.gateways:
-            await self.until(lambda: gateway.directory.samplers.get(name) is None)  # noqa: B023
+            await self.wait_until(lambda: gateway.directory.samplers.get(name) is None)  # noqa: B023
 
-    async def until_listed(self, name: str) -> None:
+    async def wait_until_listed(self, name: str) -> None:
         """Waits until every gateway has listed the sampler."""
         for gateway in self.gateways:
-            await self.until(lambda: gateway.directory.samplers.get(name) is not None)  # noqa: B023
+            await self.wait_until(lambda: gateway.directory.samplers.get(name) is not None)  # noqa: B023
 
     async def add_sampler(self, name: str, service: str) -> HttpSampler:
         """Starts a sampler and registers it in the object store."""
@@ -178,7 +178,7 @@
         await self.write("samplers", name, spec)
         return sampler
 
-    async def put_proxy_before(self, name: str) -> TcpProxy:
+    async def add_proxy(self, name: str) -> TcpProxy:
         """Puts a TCP proxy before a sampler and waits until every node uses its address."""
         stored = await self.api.get("samplers", name)
         assert stored is not None
@@ -189,7 +189,7 @@
         proxy_address = split_address(address)
         for node in (*self.gateways, *self.ledger_nodes.values()):
             directory = node.directory if isinstance(node, Gateway) else node._directory
-            await self.until(lambda: _address_of(directory, name) == proxy_address)  # noqa: B023
+            await self.wait_until(lambda: _address_of(directory, name) == proxy_address)  # noqa: B023
         return proxy
 
     def start_ledger_node(self, name: str, host: str, first_start: bool = True) -> None:
@@ -282,7 +282,7 @@
             method=method,
             headers=all_headers,
             body=body,
-            request_timeout=GIVE_UP_S,
+            request_timeout=TIMEOUT_S,
             allow_nonstandard_methods=True,
         )
         return await self._http.fetch(request, raise_error=False)
@@ -303,7 +303,7 @@
     async def results(self, job_id: str, count: int, gateway: int = 0) -> list[list[Any]]:
         """Reads results until there are at least `count`."""
         results: list[list[Any]] = []
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while len(results) < count:
                 target = f"/v1/jobs/{job_id}/results?position={len(results)}&wait_s=0.5"
                 answer = await self.call("GET", target, gateway=gateway)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -73,9 +73,9 @@
 class ReplicaTest(testtools.TestCase):
     """A single replica with hand-written messages."""
 
-    def replica(self, me: Voter) -> LedgerReplica:
+    def replica(self, local_voter: Voter) -> LedgerReplica:
         """A replica at time 0."""
-        return LedgerReplica(me, empty_ledger(VOTERS), random.Random(1), 0.0)
+        return LedgerReplica(local_voter, empty_ledger(VOTERS), random.Random(1), 0.0)
 
     def test_an_append_is_acknowledged_only_once_it_is_durable(self) -> None:
         replica = self.replica(VOTERS[1])
@@ -633,9 +633,11 @@
                 0.0, "a", question
             ),
         )
-        me = Voter("b", "new-disk")
-        learner = LedgerReplica(me, empty_ledger([]), random.Random(1), 0.0)
-        self.assertEqual([Send("a", LearnerHello(me, 5))], learner.handle(0.0, "a", question))
+        local_voter = Voter("b", "new-disk")
+        learner = LedgerReplica(local_voter, empty_ledger([]), random.Random(1), 0.0)
+        self.assertEqual(
+            [Send("a", LearnerHello(local_voter, 5))], learner.handle(0.0, "a", question)
+        )
 
     def test_a_follower_writes_the_commit_index_with_the_entries(self) -> None:
         replica = LedgerReplica(VOTERS[1], empty_ledger(VOTERS), random.Random(1), 0.0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -22,7 +22,7 @@
     WatchQuarantineCall,
 )
 from stileloom.quarantine.registry import SHARED_CRASH_THRESHOLD
-from tests.service_cluster import GIVE_UP_S, ServiceCluster, with_cluster
+from tests.service_cluster import TIMEOUT_S, ServiceCluster, with_cluster
 
 POISON = "/charts/poison"
 ARRIVALS = 8
@@ -34,12 +34,12 @@
     """Replaces each crashed sampler by one with a new id; returns how many there were."""
     crashed = [name for name, sampler in cluster.samplers.items() if sampler.crashed_by]
     for name in crashed:
-        await cluster.unlist(name)
+        await cluster.remove_sampler_entry(name)
         del cluster.samplers[name]
         successor = f"{name}+"
         await cluster.add_sampler(successor, service)
         cluster.samplers[successor].faults.crash_targets = frozenset({poison})
-        await cluster.until_listed(successor)
+        await cluster.wait_until_listed(successor)
     return len(crashed)
 
 
@@ -64,7 +64,7 @@
         await send_poison(cluster, number, gateway=0)
         await replace_crashed(cluster)
     for gateway in cluster.gateways:
-        await cluster.until(lambda: gateway._guard.view.quarantined_count == 1)  # noqa: B023
+        await cluster.wait_until(lambda: gateway._guard.view.quarantined_count == 1)  # noqa: B023
 
 
 async def send_poison(cluster: ServiceCluster, number: int, gateway: int) -> HTTPResponse:
@@ -93,12 +93,12 @@
 
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.add_sampler("chart-3", "charts")
-            await cluster.until_listed("chart-3")
+            await cluster.wait_until_listed("chart-3")
             set_faults(cluster, crash_targets=frozenset({POISON}))
             answer = await send_poison(cluster, 0, gateway=0)
             self.assertEqual(502, answer.code)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: not gateway._guard.view.has_no_suspects)  # noqa: B023
+                await cluster.wait_until(lambda: not gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 1, gateway=1)
             self.assertEqual(503, answer.code)
             for number in (0, 1):
@@ -145,10 +145,10 @@
             leader = cluster.leader()
             assert leader is not None
             await cluster.kill(leader)
-            await cluster.until(lambda: cluster.leader() is not None)
+            await cluster.wait_until(lambda: cluster.leader() is not None)
             gateway = cluster.start_gateway("gateway-late")
-            with mock.patch("stileloom.daemon.gateway.SUSPECTS_PATIENCE_S", GIVE_UP_S):
-                await cluster.until(gateway._is_ready)
+            with mock.patch("stileloom.daemon.gateway.QUARANTINE_LIST_TIMEOUT_S", TIMEOUT_S):
+                await cluster.wait_until(gateway._is_ready)
             self.assertEqual(1, gateway._guard.view.quarantined_count)
             answer = await send_poison(cluster, 9, gateway=2)
             self.assertEqual(503, answer.code)
@@ -177,7 +177,7 @@
             reply: JobReply = await gateway._jobs.call(ReleaseSuspectCall(identity), "test", 5.0)
             self.assertEqual(SuspectReleased(True), reply)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: gateway._guard.view.has_no_suspects)  # noqa: B023
+                await cluster.wait_until(lambda: gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 9, gateway=1)
             self.assertEqual(200, answer.code)
 
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -100,8 +100,10 @@
             unresponsive.faults.unresponsive = True
             items = items_named(6)
             await cluster.submit("job", items, rewards=True)
-            await cluster.until(lambda: len(runs_at(cluster, ("chart-2",))) > 0)
-            await cluster.until(lambda: len({r.request_id for r in runs_at(cluster, DRAFTERS)}) > 5)
+            await cluster.wait_until(lambda: len(runs_at(cluster, ("chart-2",))) > 0)
+            await cluster.wait_until(
+                lambda: len({r.request_id for r in runs_at(cluster, DRAFTERS)}) > 5
+            )
             full.faults.refuse = False
             unresponsive.faults.unresponsive = False
             self.check_scores(await cluster.results("job", 6))
@@ -136,9 +138,9 @@
                 return sum(partial.whole for partial in saved) == 4
 
             first = cluster.leader() or ""
-            await cluster.until(lambda: texts_saved(first))
+            await cluster.wait_until(lambda: texts_saved(first))
             await cluster.kill(first)
-            await cluster.until(lambda: cluster.leader() not in (None, first))
+            await cluster.wait_until(lambda: cluster.leader() not in (None, first))
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
             self.check_scores(await cluster.results("job", 4))
@@ -154,9 +156,9 @@
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             rewards = leader._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 4)
+            await cluster.wait_until(lambda: len(rewards) == 4)
             self.assertEqual(200, (await cluster.call("DELETE", "/v1/jobs/job")).code)
-            await cluster.until(lambda: len(rewards) == 0)
+            await cluster.wait_until(lambda: len(rewards) == 0)
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
             # The leader has run several scheduling steps by the time the next job completes.
@@ -172,11 +174,11 @@
                 sampler.faults.refuse = True
             items = items_named(3)
             await cluster.submit("first", items, rewards=True)
-            await cluster.until(lambda: len(runs_at(cluster, DRAFTERS)) == 3)
+            await cluster.wait_until(lambda: len(runs_at(cluster, DRAFTERS)) == 3)
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             rewards = leader._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 3)
+            await cluster.wait_until(lambda: len(rewards) == 3)
             await cluster.call("DELETE", "/v1/jobs/first")
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
@@ -208,11 +210,11 @@
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.write("configuration", "main", configuration(2, path_prefix="/other/"))
             node = cluster.ledger_nodes[cluster.leader() or ""]
-            await cluster.until(lambda: node._directory.routes.version == 2)
+            await cluster.wait_until(lambda: node._directory.routes.version == 2)
             await cluster.submit("job", ["i1"], rewards=True)
             assert node._leadership is not None
             rewards = node._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 1)
+            await cluster.wait_until(lambda: len(rewards) == 1)
             moved = configuration(3, backends=[{"service": "spare", "weight": 1}])
             moved["services"].append({"name": "spare", "max_connections": 9})
             await cluster.add_sampler("spare-1", "spare")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -18,7 +18,7 @@
 from stileloom.ledger.effects import Persist
 from stileloom.ledger.storage import LedgerStorage
 from stileloom.proxy.front import CallerRequest
-from tests.service_cluster import GIVE_UP_S, MODEL, ServiceCluster, configuration, with_cluster
+from tests.service_cluster import MODEL, TIMEOUT_S, ServiceCluster, configuration, with_cluster
 
 EVENTS = 6
 
@@ -93,7 +93,7 @@
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.write("configuration", "main", configuration(2, kind="unsafe"))
             gateway = cluster.gateways[0]
-            await cluster.until(lambda: gateway.directory.routes.version == 2)
+            await cluster.wait_until(lambda: gateway.directory.routes.version == 2)
             for name in ("chart-1", "chart-2"):
                 cluster.samplers[name].faults.fail_status = 500
             answer = await cluster.call("POST", "/charts/7", b"x", request_id="r1")
@@ -121,7 +121,7 @@
 
             with mock.patch.object(HTTPServer, "close_all_connections", observed):
                 gateway.stop()
-                await cluster.until(lambda: len(seen_open) > 0)
+                await cluster.wait_until(lambda: len(seen_open) > 0)
             self.assertEqual({503}, set(seen_open))
             runs = [run for sampler in cluster.samplers.values() for run in sampler.runs]
             self.assertEqual([], runs)
@@ -156,8 +156,8 @@
         service = {"backends": [{"service": "drafts", "weight": 1}], "kind": "streaming"}
         await cluster.write("configuration", "main", configuration(2, **service, **changes))
         gateway = cluster.gateways[0]
-        await cluster.until(lambda: gateway.directory.routes.version == 2)
-        await cluster.until(lambda: len(gateway.directory.samplers.of_service("drafts")) == 2)
+        await cluster.wait_until(lambda: gateway.directory.routes.version == 2)
+        await cluster.wait_until(lambda: len(gateway.directory.samplers.of_service("drafts")) == 2)
         try:
             return await cluster.call("POST", "/charts/7", b"x", request_id="r1", model=MODEL)
         except HTTPStreamClosedError:
@@ -256,11 +256,11 @@
             assert leader._leadership is not None
             runner = leader._leadership.runner
             # Prevents the leader from timing out the run or starting the item itself.
-            run_timeout = mock.patch("stileloom.jobs.scheduler.EVENT_TIMEOUT_S", 10 * GIVE_UP_S)
+            run_timeout = mock.patch("stileloom.jobs.scheduler.EVENT_TIMEOUT_S", 10 * TIMEOUT_S)
             starts = mock.patch.object(runner.scheduler, "plan_starts", return_value=[])
             with run_timeout, starts:
                 await cluster.submit("job", ["i1"])
-                await cluster.until(lambda: len(runner.scheduler.items) == 1)
+                await cluster.wait_until(lambda: len(runner.scheduler.items) == 1)
                 (item,) = runner.scheduler.items.values()
                 now = steady_time()
                 runner._start_runs([runner.scheduler.start_on(item, "draft-1", now)])
@@ -312,16 +312,16 @@
             assert first is not None
             await cluster.kill(first)
             cluster.wipe(first)
-            await cluster.until(lambda: cluster.leader() is not None)
+            await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 6))
             self.check_texts(await cluster.results("next", 6, gateway=1))
             cluster.restart(first)
             node = cluster.ledger_nodes[first]
-            await cluster.until(node.is_voter)
+            await cluster.wait_until(node.is_voter)
             second = cluster.leader()
             assert second is not None
             await cluster.kill(second)
-            await cluster.until(lambda: cluster.leader() is not None)
+            await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 6))
 
         with_cluster(scenario)
@@ -339,7 +339,7 @@
 
             with mock.patch.object(LedgerStorage, "write", refuse):
                 submitting = asyncio.ensure_future(cluster.submit("job", ["i1", "i2"]))
-                await cluster.until(lambda: len(set(refused)) == 3 and len(refused) > 6)
+                await cluster.wait_until(lambda: len(set(refused)) == 3 and len(refused) > 6)
                 self.assertFalse(submitting.done() and submitting.result().code == 202)
             self.assertIs(real_write, LedgerStorage.write)
             answer = await submitting
@@ -355,7 +355,7 @@
             before = await cluster.results("job", 1)
             await cluster.write("removals", "ledger-1", {})
             node = cluster.ledger_nodes["ledger-2"]
-            await cluster.until(lambda: "ledger-1" not in node.voter_names())
+            await cluster.wait_until(lambda: "ledger-1" not in node.voter_names())
 
             async def finished() -> bool:
                 status = await cluster.api.get("removals-status", "ledger-1")
@@ -364,13 +364,13 @@
             while not await finished():
                 await asyncio.sleep(0.05)
             await cluster.kill("ledger-1")
-            await cluster.until(lambda: cluster.leader() is not None)
+            await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 1))
             # One of the two remaining nodes loses its disk; the other continues alone.
             await cluster.kill("ledger-2")
             cluster.wipe("ledger-2")
             cluster.restart("ledger-2")
-            await cluster.until(lambda: cluster.ledger_nodes["ledger-2"].is_voter())
+            await cluster.wait_until(lambda: cluster.ledger_nodes["ledger-2"].is_voter())
             self.assertEqual(before, await cluster.results("job", 1))
 
         with_cluster(scenario)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -94,7 +94,7 @@
 
     def test_lookup_over_unresponsive_connection_is_answered_by_another_sampler(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            proxies = [await cluster.put_proxy_before(name) for name in ("chart-1", "chart-2")]
+            proxies = [await cluster.add_proxy(name) for name in ("chart-1", "chart-2")]
             for number in range(4):
                 await cluster.call("POST", "/charts/7", b"x", request_id=f"warm{number}")
             proxies[0].stall_open_connections()
@@ -110,7 +110,7 @@
 
     def test_job_items_complete_after_connections_stop_responding(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            proxies = [await cluster.put_proxy_before(name) for name in ("draft-1", "draft-2")]
+            proxies = [await cluster.add_proxy(name) for name in ("draft-1", "draft-2")]
             await cluster.submit("first", [f"a{number}" for number in range(8)])
             await cluster.results("first", 8)
             for proxy in proxies:
