--- a/stileloom/api/samples.py
+++ b/stileloom/api/samples.py
@@ -50,7 +50,7 @@
     return min((segment.weight_version for segment in segments), default=None)
 
 
-def segments_add_up(segments: list[Segment], token_count: int) -> bool:
+def segments_are_contiguous(segments: list[Segment], token_count: int) -> bool:
     """Whether segments cover 0..token_count in order, without gap or overlap."""
     position = 0
     for segment in segments:
--- a/stileloom/daemon/cached_store.py
+++ b/stileloom/daemon/cached_store.py
@@ -31,7 +31,7 @@
     ObjectsListed,
     ReadObjectsCall,
 )
-from stileloom.transport.calls import CallConnections, CallFailed
+from stileloom.transport.calls import CallConnectionPool, CallFailed
 
 RESPONSE_TIMEOUT_FRACTION = 0.2
 """Response timeout in addition to the requested wait, as a fraction of the shortest bound."""
@@ -112,7 +112,7 @@
         self._log = log
         self._rng = rng
         self._reads = metrics.store_reads
-        self._connections = CallConnections()
+        self._connections = CallConnectionPool()
         self._selected_cache: str | None = None
         self._latest_revisions: dict[str, int] = {}
         self._refresh_at = 0.0
--- a/stileloom/http1/whole_answer.py
+++ b/stileloom/http1/buffered_response.py
@@ -8,7 +8,7 @@
 from stileloom.http1.response_decoder import ResponseHead
 
 
-class WholeAnswer:
+class BufferedResponse:
     """An `ExchangeSink` that buffers a response; `done` resolves when the exchange ends."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         return b"".join(self._parts)
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the response is complete."""
         return self.done.done() and self.done.result() is ExchangeEnd.COMPLETE
 
--- a/stileloom/http1/caller.py
+++ b/stileloom/http1/caller.py
@@ -7,24 +7,24 @@
 
 import msgspec
 
+from stileloom.http1.buffered_response import BufferedResponse
 from stileloom.http1.pool import ConnectionPool
 from stileloom.http1.request_encoder import encode_request
 from stileloom.http1.response_decoder import ResponseHead
-from stileloom.http1.whole_answer import WholeAnswer
 
 
 class NotSent(Exception):
     """`may_send` returned False once a connection was available."""
 
 
-class CallAnswer(msgspec.Struct, frozen=True):
+class HttpResponse(msgspec.Struct, frozen=True):
     """A complete response."""
 
     head: ResponseHead
     body: bytes
 
 
-async def call(
+async def send_request(
     pool: ConnectionPool,
     peer_id: str,
     address: tuple[str, int],
@@ -34,7 +34,7 @@
     body: bytes,
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
-) -> CallAnswer | None:
+) -> HttpResponse | None:
     """Sends one request. Returns None if no complete response arrives in time.
 
     On a timeout the connection is closed instead of being returned to the pool. `may_send` is
@@ -50,7 +50,7 @@
     if not may_send():
         pool.release(peer_id, connection)
         raise NotSent
-    response = WholeAnswer()
+    response = BufferedResponse()
     connection.exchange(encode_request(method, target, all_headers, body), response)
     try:
         async with asyncio.timeout(timeout_s):
@@ -62,6 +62,6 @@
         connection.close()
         raise
     pool.release(peer_id, connection)
-    if not response.whole or response.head is None:
+    if not response.complete or response.head is None:
         return None
-    return CallAnswer(response.head, response.body)
+    return HttpResponse(response.head, response.body)
--- a/stileloom/http1/request_encoder.py
+++ b/stileloom/http1/request_encoder.py
@@ -33,7 +33,9 @@
     return head.encode("latin1") + body
 
 
-def end_to_end(headers: Iterable[tuple[str, str]], connection: str = "") -> list[tuple[str, str]]:
+def end_to_end_headers(
+    headers: Iterable[tuple[str, str]], connection: str = ""
+) -> list[tuple[str, str]]:
     """Returns the end-to-end headers; `connection` is the value of the Connection header."""
     connection_options = {name.strip().lower() for name in connection.split(",")}
     dropped = HOP_BY_HOP | connection_options | {"content-length"}
--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -19,7 +19,7 @@
 from stileloom.logging import EventLog
 from stileloom.quarantine.messages import WatchQuarantineCall
 from stileloom.settings_file import split_address
-from stileloom.transport.calls import CallConnections, CallFailed
+from stileloom.transport.calls import CallConnectionPool, CallFailed
 
 CALL_TIMEOUT_S = 1.2
 """Timeout of one attempt."""
@@ -79,7 +79,7 @@
         self._nodes = nodes
         self._log = log
         self._on_lost_leader = on_lost_leader
-        self._connections = CallConnections()
+        self._connections = CallConnectionPool()
         self._unresponsive: set[tuple[str, int]] = set()
 
     async def call(self, request: JobRequest, request_id: str, timeout_s: float) -> JobReply:
--- a/stileloom/jobs/engine_control.py
+++ b/stileloom/jobs/engine_control.py
@@ -8,8 +8,7 @@
 import msgspec
 
 from stileloom.api.dialect import Dialect, EngineCall, LoadOrder, SamplerReport
-from stileloom.http1.caller import CallAnswer, NotSent
-from stileloom.http1.caller import call as http1_call
+from stileloom.http1.caller import HttpResponse, NotSent, send_request
 from stileloom.http1.pool import ConnectionPool
 
 CONTROL_TIMEOUT_S = 1.0
@@ -80,9 +79,9 @@
         target: ControlTarget,
         call: EngineCall,
         may_send: Callable[[], bool] = lambda: True,
-    ) -> CallAnswer | None:
+    ) -> HttpResponse | None:
         headers = [(self._dialect.names.expect_sampler, target.sampler_id)]
-        return await http1_call(
+        return await send_request(
             self._pool,
             target.sampler_id,
             target.address,
--- a/stileloom/jobs/item_request.py
+++ b/stileloom/jobs/item_request.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stileloom.api.headers import HeaderNames
-from stileloom.http1.request_encoder import encode_request, end_to_end
+from stileloom.http1.request_encoder import encode_request, end_to_end_headers
 from stileloom.jobs.open_items import OpenItem
 
 
@@ -25,7 +25,7 @@
     headers = [("Host", host), (names.request_id, item.item_id)]
     headers += [
         (name, value)
-        for name, value in end_to_end(item.headers.items())
+        for name, value in end_to_end_headers(item.headers.items())
         if name.lower() not in replaced
     ]
     remaining_ms = max(1, int(remaining_s * 1000))
--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -13,7 +13,7 @@
     Prompt,
     Sample,
     oldest_version,
-    segments_add_up,
+    segments_are_contiguous,
 )
 from stileloom.errors import ErrorKind
 from stileloom.jobs.registry import JobRegistry
@@ -260,7 +260,7 @@
             if sample.slot >= state.next_slot:
                 return Refused(ErrorKind.BAD_REQUEST, f"slot {sample.slot} does not exist")
             return Done(duplicate=True)
-        if not segments_add_up(sample.segments, len(sample.tokens)):
+        if not segments_are_contiguous(sample.segments, len(sample.tokens)):
             return SampleRefused("the sample's segments do not cover its tokens")
         if sample.prompt_id != slot.prompt.prompt_id:
             return SampleRefused("the sample belongs to a different prompt than its slot")
--- a/stileloom/proxy/exchange.py
+++ b/stileloom/proxy/exchange.py
@@ -9,9 +9,9 @@
 
 from stileloom.api.headers import HeaderNames
 from stileloom.api.sampler_directory import SamplerEntry
+from stileloom.http1.buffered_response import BufferedResponse
 from stileloom.http1.connection import ExchangeEnd, SamplerConnection
 from stileloom.http1.response_decoder import ResponseHead
-from stileloom.http1.whole_answer import WholeAnswer
 
 
 class AttemptOutcome(enum.Enum):
@@ -51,7 +51,7 @@
     method: str = "GET",
 ) -> Attempt:
     """Sends a request on a connection and classifies the response."""
-    response = WholeAnswer()
+    response = BufferedResponse()
     connection.exchange(request, response, method)
     try:
         end = await response.done
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -20,7 +20,7 @@
 from stileloom.clock import steady_time
 from stileloom.errors import ErrorKind, Outcome, StileloomError, problem_of
 from stileloom.events import LogEvent
-from stileloom.http1.request_encoder import end_to_end
+from stileloom.http1.request_encoder import end_to_end_headers
 from stileloom.http1.response_decoder import ResponseHead
 from stileloom.jobs.client import JobClient
 from stileloom.jobs.messages import (
@@ -182,7 +182,9 @@
             request_id=request_id,
             method=request.method,
             target=request.target,
-            headers=end_to_end(request.headers.get_all(), request.headers.get("Connection", "")),
+            headers=end_to_end_headers(
+                request.headers.get_all(), request.headers.get("Connection", "")
+            ),
             body=request.body,
             arrived_at=request.arrived_at,
             deadline_at=request.arrived_at + max(0.001, limit_s - DEADLINE_MARGIN_S),
@@ -198,7 +200,7 @@
         else:
             answer = await self._forwarder.forward(lookup, route, service)
         head = answer.head
-        headers = end_to_end(head.headers.get_all(), head.headers.get("Connection", ""))
+        headers = end_to_end_headers(head.headers.get_all(), head.headers.get("Connection", ""))
         self._metrics.requests.labels(route.name, str(head.status)).inc()
         return CallerResponse(head.status, head.reason, headers, answer.body)
 
@@ -326,7 +328,9 @@
         """Sends the head of the first sampler's response."""
         self._streaming = True
         headers = HTTPHeaders()
-        for name, value in end_to_end(head.headers.get_all(), head.headers.get("Connection", "")):
+        for name, value in end_to_end_headers(
+            head.headers.get_all(), head.headers.get("Connection", "")
+        ):
             headers.add(name, value)
         if self._front.draining:
             headers["Connection"] = "close"
--- a/stileloom/transport/calls.py
+++ b/stileloom/transport/calls.py
@@ -23,7 +23,7 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-class FrameReader:
+class FrameDecoder:
     """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         self._handler = handler
         self._compress = compress
         self._open_connections = open_connections
-        self._reader = FrameReader()
+        self._reader = FrameDecoder()
         self._transport: asyncio.Transport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -154,7 +154,7 @@
     """Client side of a connection to one node; supports concurrent calls."""
 
     def __init__(self) -> None:
-        self._reader = FrameReader()
+        self._reader = FrameDecoder()
         self._transport: asyncio.Transport | None = None
         self._pending: dict[int, asyncio.Future[Reply]] = {}
         self._next_number = 1
@@ -224,7 +224,7 @@
                     future.exception()
 
 
-class CallConnections:
+class CallConnectionPool:
     """Connections to nodes by address, opened on first use."""
 
     def __init__(self) -> None:
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -15,7 +15,7 @@
 
 from stileloom.api.object_store import WatchBatch
 from stileloom.daemon.object_watch import ObjectWatcher
-from stileloom.http1.caller import call as call_sampler
+from stileloom.http1.caller import send_request
 from stileloom.http1.pool import ConnectionPool
 from stileloom.jobs.messages import EndJobCall, JobEnded
 from stileloom.logging import EventLog
@@ -82,7 +82,7 @@
             pool = ConnectionPool()
             connection = await pool.acquire("s", address)
             pool.release("s", connection)
-            calling = call_sampler(pool, "s", address, "GET", "/", [], b"", TIMEOUT_S)
+            calling = send_request(pool, "s", address, "GET", "/", [], b"", TIMEOUT_S)
             task = asyncio.get_running_loop().create_task(calling)
             cancel_after(connection, "data_received", task)
             await asyncio.wait((task,))
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies
 
 from stileloom.api.headers import HeaderNames
+from stileloom.http1.buffered_response import BufferedResponse
 from stileloom.http1.connection import ExchangeEnd, SamplerConnection
 from stileloom.http1.event_stream import EventStreamParser, MalformedEvent
 from stileloom.http1.pool import ConnectionPool
-from stileloom.http1.request_encoder import encode_request, end_to_end
+from stileloom.http1.request_encoder import encode_request, end_to_end_headers
 from stileloom.http1.response_decoder import MalformedResponse, ResponseDecoder
-from stileloom.http1.whole_answer import WholeAnswer
 from stileloom.proxy.exchange import AttemptOutcome, run_exchange
 
 NAMES = HeaderNames()
@@ -123,7 +123,7 @@
             ("TE", "x"),
             ("Content-Length", "9"),
         ]
-        self.assertEqual([("A", "1")], end_to_end(headers, "b"))
+        self.assertEqual([("A", "1")], end_to_end_headers(headers, "b"))
 
     def test_content_length_is_added(self) -> None:
         request = encode_request("POST", "/p?q", [("Host", "h")], b"xy")
@@ -231,7 +231,7 @@
 
         async def scenario(address: tuple[str, int]) -> None:
             connection = await SamplerConnection.open(address)
-            response = WholeAnswer()
+            response = BufferedResponse()
             connection.exchange(b"x", response)
             self.assertEqual(ExchangeEnd.COMPLETE, await response.done)
             self.assertFalse(connection.usable)
--- a/tests/test_job_client.py
+++ b/tests/test_job_client.py
@@ -15,7 +15,7 @@
 from stileloom.jobs.messages import EndJobCall, JobEnded, NotLeader, OutcomeUnknown
 from stileloom.logging import EventLog, configure_logs
 from stileloom.transport.call_frames import Reply, Request
-from stileloom.transport.calls import CallServer, FrameReader, encode_frame
+from stileloom.transport.calls import CallServer, FrameDecoder, encode_frame
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -147,9 +147,9 @@
     def test_frames_do_not_depend_on_how_the_input_is_split(self) -> None:
         sent = encode_frame("a") + encode_frame("b" * 100)
         for cut in range(len(sent)):
-            reader = FrameReader()
+            reader = FrameDecoder()
             frames = reader.feed(sent[:cut]) + reader.feed(sent[cut:])
             self.assertEqual(2, len(frames))
 
     def test_an_oversized_frame_is_rejected(self) -> None:
-        self.assertRaises(ValueError, FrameReader().feed, b"\xff\xff\xff\xff")
+        self.assertRaises(ValueError, FrameDecoder().feed, b"\xff\xff\xff\xff")
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -14,7 +14,7 @@
 from stileloom.jobs.registry import PAGE_BYTES, result_size
 from stileloom.jobs.result_cache import ResultCache
 from stileloom.jobs.result_reader import ResultReader
-from stileloom.transport.calls import FrameReader, encode_frame
+from stileloom.transport.calls import FrameDecoder, encode_frame
 from stileloom.transport.compression import DEFLATED, PLAIN, pack, unpack
 
 TOTAL = 9
@@ -142,4 +142,4 @@
     def test_a_damaged_frame_raises_an_error(self) -> None:
         frame = bytearray(encode_frame(["a" * 500]))
         frame[6] ^= 0xFF
-        self.assertRaises(ValueError, FrameReader().feed, bytes(frame))
+        self.assertRaises(ValueError, FrameDecoder().feed, bytes(frame))
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -10,11 +10,11 @@
 
 import testtools
 
-from stileloom.http1.caller import call as call_sampler
+from stileloom.http1.caller import send_request
 from stileloom.http1.pool import ConnectionPool
 from stileloom.jobs.messages import EndJobCall, JobEnded
 from stileloom.transport.call_frames import Reply, Request
-from stileloom.transport.calls import CallConnections, CallFailed, CallServer
+from stileloom.transport.calls import CallConnectionPool, CallFailed, CallServer
 from tests.ports import free_port
 from tests.service_cluster import ServiceCluster, with_cluster
 from tests.soak.loopback_proxy import Link, TcpProxy
@@ -47,7 +47,7 @@
             await server.start(HOST, port)
             proxy = TcpProxy(Link(), (HOST, port))
             address = (HOST, await proxy.start(HOST))
-            connections = CallConnections()
+            connections = CallConnectionPool()
             await connections.call(address, CALL, ANSWERED_CALL_TIMEOUT_S)
             proxy.stall_open_connections()
             sent = False
@@ -77,7 +77,7 @@
                 UNANSWERED_CALL_TIMEOUT_S,
                 ANSWERED_CALL_TIMEOUT_S,
             ):
-                answer = await call_sampler(pool, "s", address, "GET", "/", [], b"", timeout_s)
+                answer = await send_request(pool, "s", address, "GET", "/", [], b"", timeout_s)
                 statuses.append(answer.head.status if answer is not None else None)
                 if len(statuses) == 1:
                     proxy.stall_open_connections()
