--- a/stileloom/cli/bench.py
+++ b/stileloom/cli/bench.py
@@ -14,7 +14,7 @@
 from stileloom.cli.demo import DeploymentName, ExamplesOption
 from stileloom.cli.errors import exit_on_error
 from stileloom.cli.operate import Output, OutputOption
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.rollout import Mechanism, SchedulerKind
 from stileloom.simulator.bench import BenchParameters, BenchResult, run_bench
@@ -97,7 +97,7 @@
     from stileloom.emulator.ledger_bench import run_ledger_bench  # noqa: PLC0415 (rarely used)
 
     with exit_on_error(), tempfile.TemporaryDirectory(prefix="stileloom-ledger-") as folder:
-        result = run_program(run_ledger_bench(Path(folder), seconds))
+        result = run_main(run_ledger_bench(Path(folder), seconds))
         typer.echo(msgspec.json.format(msgspec.json.encode(result), indent=2).decode())
 
 
--- a/stileloom/cli/demo.py
+++ b/stileloom/cli/demo.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from stileloom.cli.errors import exit_on_error
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.emulator.demo import Demo, DemoReport
 from stileloom.emulator.deployment import load_deployment, write_run_files
 from stileloom.errors import ErrorKind, StileloomError
@@ -85,7 +85,7 @@
                 scheduler.value,
                 lambda text, done: bar.update(task, description=text, completed=done),
             )
-            return run_program(runner.run())
+            return run_main(runner.run())
 
 
 def _print_report(report: DemoReport) -> None:
--- a/stileloom/cli/emulate.py
+++ b/stileloom/cli/emulate.py
@@ -8,7 +8,7 @@
 import typer
 
 from stileloom.cli.errors import exit_on_error
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.emulator import engine_server, object_api_server, platform_servers
 from stileloom.emulator.hollow import HollowSettings, run_hollow
 from stileloom.emulator.run_server import run_until_stopped
@@ -33,7 +33,7 @@
         settings = _load(config)
         application = object_api_server.object_api_application(settings)
         port = settings.object_api.port
-        run_program(run_until_stopped(application, settings.host, port))
+        run_main(run_until_stopped(application, settings.host, port))
 
 
 @app.command()
@@ -43,7 +43,7 @@
         settings = _load(config)
         application = platform_servers.machine_list_application(settings)
         port = settings.machine_list.port
-        run_program(run_until_stopped(application, settings.host, port))
+        run_main(run_until_stopped(application, settings.host, port))
 
 
 @app.command()
@@ -53,7 +53,7 @@
         settings = _load(config)
         application = platform_servers.weight_store_application(settings)
         port = settings.weight_store.port
-        run_program(run_until_stopped(application, settings.host, port))
+        run_main(run_until_stopped(application, settings.host, port))
 
 
 @app.command()
@@ -69,14 +69,14 @@
             raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{config}: no sampler {sampler!r}")
         service = engine_server.EngineService(settings, selected)
         application = engine_server.engine_application(service)
-        run_program(run_until_stopped(application, settings.host, selected.port, service))
+        run_main(run_until_stopped(application, settings.host, selected.port, service))
 
 
 @app.command()
 def hollow(config: ConfigOption) -> None:
     """Runs many hollow nodes in one process, for scale tests."""
     with exit_on_error():
-        run_program(run_hollow(load_settings(config, HollowSettings)))
+        run_main(run_hollow(load_settings(config, HollowSettings)))
 
 
 @app.command()
@@ -91,4 +91,4 @@
         settings = _load(config)
         if settings.trainer is None:
             raise StileloomError(ErrorKind.SETTINGS_INVALID, f"{config}: `$.trainer` is missing")
-        run_program(run_trainer(settings, staleness_bound))
+        run_main(run_trainer(settings, staleness_bound))
--- a/stileloom/cli/errors.py
+++ b/stileloom/cli/errors.py
@@ -17,4 +17,4 @@
         yield
     except StileloomError as error:
         typer.echo(f"error: {error.kind.value}: {error.detail}", err=True)
-        raise typer.Exit(error.answer.exit_code) from error
+        raise typer.Exit(error.response.exit_code) from error
--- a/stileloom/cli/main.py
+++ b/stileloom/cli/main.py
@@ -12,7 +12,7 @@
 from stileloom.cli.errors import exit_on_error
 from stileloom.cli.scale import scale
 from stileloom.cli.trace import trace
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.daemon.process import serve as serve_node
 from stileloom.logging import configure_logs
 from stileloom.settings import NodeSettings
@@ -56,7 +56,7 @@
     with exit_on_error():
         settings = load_settings(config, NodeSettings, overrides)
         configure_logs(settings.log.level)
-        run_program(serve_node(settings))
+        run_main(serve_node(settings))
 
 
 if __name__ == "__main__":
--- a/stileloom/cli/operate.py
+++ b/stileloom/cli/operate.py
@@ -17,7 +17,7 @@
 from stileloom.cli.errors import exit_on_error
 from stileloom.cli.manifests import load_manifests
 from stileloom.client import HttpCaller
-from stileloom.clock import run_program, steady_time
+from stileloom.clock import run_main, steady_time
 from stileloom.daemon.platform_client import ObjectList, StoredObject
 from stileloom.emulator.settings import EmulatorSettings
 from stileloom.errors import ErrorKind, StileloomError
@@ -99,7 +99,7 @@
     """
     with exit_on_error():
         manifests = load_manifests(file)
-        run_program(_apply(server, manifests, revision, wait_s))
+        run_main(_apply(server, manifests, revision, wait_s))
 
 
 async def _apply(
@@ -161,7 +161,7 @@
 ) -> None:
     """Lists objects, or shows one."""
     with exit_on_error():
-        listed = run_program(_list(server))
+        listed = run_main(_list(server))
         selected = [
             stored
             for stored in listed.objects
@@ -194,7 +194,7 @@
     with exit_on_error():
         path = f"/v1/objects/{kind.value}/{name}"
         headers = {"If-Match": str(revision)} if revision is not None else None
-        response = run_program(HttpCaller([server]).call("DELETE", path, headers=headers))
+        response = run_main(HttpCaller([server]).call("DELETE", path, headers=headers))
         result = msgspec.json.decode(response.body, type=_WriteResult)
         typer.echo(f"{kind.value}/{name}: deleted at revision {result.revision}")
 
@@ -207,7 +207,7 @@
 def status(server: ServerOption, output: OutputOption = Output.TABLE) -> None:
     """Shows nodes, leader, revisions per zone, samplers and the progress of rounds."""
     with exit_on_error():
-        current = run_program(_read_status(HttpCaller([server])))
+        current = run_main(_read_status(HttpCaller([server])))
         if output is Output.JSON:
             _print_json(current)
         else:
@@ -268,7 +268,7 @@
         "prefix_key": prefix_key,
     }
     with exit_on_error():
-        response = run_program(HttpCaller([server]).call("POST", "/v1/explain", body))
+        response = run_main(HttpCaller([server]).call("POST", "/v1/explain", body))
         explanation = msgspec.json.decode(response.body, type=Explanation)
         if output is Output.JSON:
             _print_json(explanation)
@@ -296,5 +296,5 @@
     """Drains the addressed node, or a sampler. A drain cannot be undone."""
     with exit_on_error():
         path = "/v1/drain" if sampler is None else f"/v1/samplers/{sampler}/drain"
-        run_program(HttpCaller([server]).call("POST", path, {}))
+        run_main(HttpCaller([server]).call("POST", path, {}))
         typer.echo(f"draining {sampler or server}")
--- a/stileloom/cli/quarantine.py
+++ b/stileloom/cli/quarantine.py
@@ -8,7 +8,7 @@
 import typer
 
 from stileloom.cli.errors import exit_on_error
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.jobs.client import JobClient, LedgerNodes
 from stileloom.jobs.messages import JobReply
@@ -96,4 +96,4 @@
         finally:
             client.close()
 
-    return run_program(run())
+    return run_main(run())
--- a/stileloom/cli/scale.py
+++ b/stileloom/cli/scale.py
@@ -13,7 +13,7 @@
 
 from stileloom.cli.errors import exit_on_error
 from stileloom.cli.operate import Output, OutputOption
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.emulator.scale import ScaleResult, ScaleRun
 
 CLUSTER_SIZES = (50, 100, 200, 390)
@@ -36,7 +36,7 @@
         for size in sizes:
             with tempfile.TemporaryDirectory(prefix="stileloom-scale-") as folder:
                 run = ScaleRun(Path(folder), size, lambda text: typer.echo(text, err=True))
-                results.append(run_program(run.run(window_s)))
+                results.append(run_main(run.run(window_s)))
     if output is Output.JSON:
         typer.echo(msgspec.json.format(msgspec.json.encode(results), indent=2).decode())
         return
--- a/stileloom/cli/services.py
+++ b/stileloom/cli/services.py
@@ -8,7 +8,7 @@
 import typer
 
 from stileloom.cli.errors import exit_on_error
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.daemon.gateway import serve_gateway
 from stileloom.daemon.ledger_node import serve_ledger_node
 from stileloom.daemon.native_object_store import NativeObjectStore
@@ -29,7 +29,7 @@
     with exit_on_error():
         settings = load_settings(config, ServiceSettings)
         configure_logs(settings.log.level, open_output_stream())
-        run_program(serve_gateway(settings, _object_store(settings), NativeDialect()))
+        run_main(serve_gateway(settings, _object_store(settings), NativeDialect()))
 
 
 def ledger_node(config: ConfigOption) -> None:
@@ -40,7 +40,7 @@
     with exit_on_error():
         settings = load_settings(config, ServiceSettings)
         configure_logs(settings.log.level, open_output_stream())
-        run_program(serve_ledger_node(settings, _object_store(settings), NativeDialect()))
+        run_main(serve_ledger_node(settings, _object_store(settings), NativeDialect()))
 
 
 def _object_store(settings: ServiceSettings) -> NativeObjectStore:
--- a/stileloom/cli/trace.py
+++ b/stileloom/cli/trace.py
@@ -12,7 +12,7 @@
 
 from stileloom.cli.errors import exit_on_error
 from stileloom.errors import ErrorKind, StileloomError
-from stileloom.trace import gather, render
+from stileloom.trace import collect_trace, render
 
 
 def trace(
@@ -27,7 +27,7 @@
     Example: stileloom trace 9c41d07be2a35f68 gateway.log ledger.log
     """
     with exit_on_error():
-        result = gather(sought, _lines(files or []))
+        result = collect_trace(sought, _lines(files or []))
         if not result.lines:
             raise StileloomError(ErrorKind.UNKNOWN_OBJECT, f"no log line references {sought}")
         if output == "json":
--- a/stileloom/client.py
+++ b/stileloom/client.py
@@ -84,7 +84,7 @@
                 response = await self.call(method, path, body)
                 return msgspec.json.decode(response.body, type=kind)
             except StileloomError as error:
-                status = error.answer.http_status
+                status = error.response.http_status
                 permanent = 400 <= status < 500 and error.kind is not ErrorKind.UNKNOWN_ROUND
                 if permanent or steady_time() >= deadline:
                     raise
--- a/stileloom/clock.py
+++ b/stileloom/clock.py
@@ -33,7 +33,7 @@
         return steady_time()
 
 
-def run_program(main: Coroutine[Any, Any, _Result]) -> _Result:
+def run_main(main: Coroutine[Any, Any, _Result]) -> _Result:
     """Like `asyncio.run`, with a `SuspendAwareEventLoop`."""
     with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main)
--- a/stileloom/daemon/process_metrics.py
+++ b/stileloom/daemon/process_metrics.py
@@ -40,7 +40,7 @@
             "Log lines left out since the start, over their budget",
             registry=registry,
         )
-        suppressed.set_function(lambda: float(log.budget.suppressed_total))
+        suppressed.set_function(lambda: float(log.rate_limiter.suppressed_total))
 
     def observe_routes(self, version: Callable[[], int]) -> None:
         """Registers the source of the active routes version."""
--- a/stileloom/errors.py
+++ b/stileloom/errors.py
@@ -1,8 +1,8 @@
 """Error kinds and their HTTP statuses, exit codes and default outcomes.
 
-Every failure visible to a caller, trainer or operator is an `ErrorKind`. `ANSWERS` maps each kind
-to its HTTP status, command-line exit code, default outcome and `Retry-After` value. Problem
-documents follow RFC 9457.
+Every failure visible to a caller, trainer or operator is an `ErrorKind`. `ERROR_RESPONSES` maps
+each kind to its HTTP status, command-line exit code, default outcome and `Retry-After` value.
+Problem documents follow RFC 9457.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
     INTERNAL = "internal"
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True):
+class ErrorResponse(msgspec.Struct, frozen=True):
     """HTTP and command-line representation of an error kind."""
 
     http_status: int
@@ -65,77 +65,83 @@
     title: str
 
 
-ANSWERS: dict[ErrorKind, ErrorAnswer] = {
-    ErrorKind.BAD_REQUEST: ErrorAnswer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
         400, 2, Outcome.NOT_RUN, None, "The request is not well formed"
     ),
-    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
         413, 2, Outcome.NOT_RUN, None, "The body is over the limit"
     ),
-    ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
         404, 3, Outcome.NOT_RUN, None, "No service has this name"
     ),
-    ErrorKind.UNKNOWN_ROUND: ErrorAnswer(404, 3, Outcome.NOT_RUN, None, "No round has this name"),
-    ErrorKind.UNKNOWN_OBJECT: ErrorAnswer(404, 3, Outcome.NOT_RUN, None, "No object has this name"),
-    ErrorKind.UNKNOWN_ROUTE: ErrorAnswer(
+    ErrorKind.UNKNOWN_ROUND: ErrorResponse(404, 3, Outcome.NOT_RUN, None, "No round has this name"),
+    ErrorKind.UNKNOWN_OBJECT: ErrorResponse(
+        404, 3, Outcome.NOT_RUN, None, "No object has this name"
+    ),
+    ErrorKind.UNKNOWN_ROUTE: ErrorResponse(
         404, 3, Outcome.NOT_RUN, None, "No route matches the host and path"
     ),
-    ErrorKind.UNKNOWN_JOB: ErrorAnswer(404, 3, Outcome.NOT_RUN, None, "No job has this id"),
-    ErrorKind.DEADLINE_PASSED: ErrorAnswer(
+    ErrorKind.UNKNOWN_JOB: ErrorResponse(404, 3, Outcome.NOT_RUN, None, "No job has this id"),
+    ErrorKind.DEADLINE_PASSED: ErrorResponse(
         504, 4, Outcome.NOT_RUN, None, "The deadline has passed"
     ),
-    ErrorKind.KEY_REUSED: ErrorAnswer(
+    ErrorKind.KEY_REUSED: ErrorResponse(
         422, 2, Outcome.NOT_RUN, None, "The idempotency key was used with another body"
     ),
-    ErrorKind.KEY_IN_USE: ErrorAnswer(
+    ErrorKind.KEY_IN_USE: ErrorResponse(
         409, 5, Outcome.UNKNOWN, None, "A request with this idempotency key was already admitted"
     ),
-    ErrorKind.CONFLICT: ErrorAnswer(409, 5, Outcome.NOT_RUN, None, "Another change came first"),
-    ErrorKind.POLICY_INVALID: ErrorAnswer(
+    ErrorKind.CONFLICT: ErrorResponse(409, 5, Outcome.NOT_RUN, None, "Another change came first"),
+    ErrorKind.POLICY_INVALID: ErrorResponse(
         422, 6, Outcome.NOT_RUN, None, "The policy does not compile"
     ),
-    ErrorKind.OBJECT_INVALID: ErrorAnswer(422, 6, Outcome.NOT_RUN, None, "The object is not valid"),
-    ErrorKind.SETTINGS_INVALID: ErrorAnswer(
+    ErrorKind.OBJECT_INVALID: ErrorResponse(
+        422, 6, Outcome.NOT_RUN, None, "The object is not valid"
+    ),
+    ErrorKind.SETTINGS_INVALID: ErrorResponse(
         422, 2, Outcome.NOT_RUN, None, "The settings are not valid"
     ),
-    ErrorKind.REJECTED_BY_POLICY: ErrorAnswer(
+    ErrorKind.REJECTED_BY_POLICY: ErrorResponse(
         403, 7, Outcome.NOT_RUN, None, "A policy in force refuses the request"
     ),
-    ErrorKind.OVERLOADED: ErrorAnswer(
+    ErrorKind.OVERLOADED: ErrorResponse(
         503, 8, Outcome.NOT_RUN, 1, "The queue can not serve the request before its deadline"
     ),
-    ErrorKind.RATE_LIMITED: ErrorAnswer(429, 8, Outcome.NOT_RUN, 1, "The tenant is over its limit"),
-    ErrorKind.NO_SAMPLER: ErrorAnswer(
+    ErrorKind.RATE_LIMITED: ErrorResponse(
+        429, 8, Outcome.NOT_RUN, 1, "The tenant is over its limit"
+    ),
+    ErrorKind.NO_SAMPLER: ErrorResponse(
         503, 8, Outcome.NOT_RUN, 2, "No sampler of the service can take the request"
     ),
-    ErrorKind.DRAINING: ErrorAnswer(503, 8, Outcome.NOT_RUN, 1, "This node is draining"),
-    ErrorKind.NOT_READY: ErrorAnswer(
+    ErrorKind.DRAINING: ErrorResponse(503, 8, Outcome.NOT_RUN, 1, "This node is draining"),
+    ErrorKind.NOT_READY: ErrorResponse(
         503, 8, Outcome.NOT_RUN, 2, "This node has not learned the configuration yet"
     ),
-    ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
+    ErrorKind.LEDGER_UNAVAILABLE: ErrorResponse(
         503, 9, Outcome.UNKNOWN, 2, "The ledger has no leader within reach"
     ),
-    ErrorKind.PLATFORM_UNAVAILABLE: ErrorAnswer(
+    ErrorKind.PLATFORM_UNAVAILABLE: ErrorResponse(
         503, 9, Outcome.UNKNOWN, 5, "The object API did not answer"
     ),
-    ErrorKind.HISTORY_LOST: ErrorAnswer(
+    ErrorKind.HISTORY_LOST: ErrorResponse(
         410, 9, Outcome.NOT_RUN, None, "The store's history no longer reaches back so far"
     ),
-    ErrorKind.SAMPLER_FAILED: ErrorAnswer(
+    ErrorKind.SAMPLER_FAILED: ErrorResponse(
         502, 10, Outcome.UNKNOWN, 1, "The sampler failed while the request ran"
     ),
-    ErrorKind.STALE_DELIVERIES: ErrorAnswer(
+    ErrorKind.STALE_DELIVERIES: ErrorResponse(
         409, 5, Outcome.NOT_RUN, 1, "Unacknowledged deliveries would exceed the staleness bound"
     ),
     # 503 rather than 4xx: the request is well formed, and only a 503 guarantees that it was not and
     # will not be executed. Retries are rejected immediately.
-    ErrorKind.QUARANTINED: ErrorAnswer(
+    ErrorKind.QUARANTINED: ErrorResponse(
         503, 11, Outcome.NOT_RUN, None, "Samplers ended under this request: do not send it again"
     ),
-    ErrorKind.PROMISE_BROKEN: ErrorAnswer(
+    ErrorKind.PROMISE_BROKEN: ErrorResponse(
         500, 1, Outcome.UNKNOWN, None, "A run broke one of the promises"
     ),
-    ErrorKind.INTERNAL: ErrorAnswer(500, 70, Outcome.UNKNOWN, None, "An internal fault"),
+    ErrorKind.INTERNAL: ErrorResponse(500, 70, Outcome.UNKNOWN, None, "An internal fault"),
 }
 
 
@@ -150,16 +156,16 @@
         retry_after_s: float | None = None,
     ) -> None:
         super().__init__(f"{kind.value}: {detail}")
-        answer = ANSWERS[kind]
+        response = ERROR_RESPONSES[kind]
         self.kind = kind
         self.detail = detail
-        self.outcome = outcome if outcome is not None else answer.outcome
-        self.retry_after_s = retry_after_s if retry_after_s is not None else answer.retry_after_s
+        self.outcome = outcome if outcome is not None else response.outcome
+        self.retry_after_s = retry_after_s if retry_after_s is not None else response.retry_after_s
 
     @property
-    def answer(self) -> ErrorAnswer:
-        """Entry of `ANSWERS` for this kind."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """Entry of `ERROR_RESPONSES` for this kind."""
+        return ERROR_RESPONSES[self.kind]
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
@@ -174,11 +180,11 @@
     type: str = "about:blank"
 
 
-def problem_of(error: StileloomError) -> Problem:
+def problem_document(error: StileloomError) -> Problem:
     """Builds the problem document for an error."""
     return Problem(
-        title=error.answer.title,
-        status=error.answer.http_status,
+        title=error.response.title,
+        status=error.response.http_status,
         code=error.kind.value,
         outcome=error.outcome.value,
         detail=error.detail,
--- a/stileloom/http/base.py
+++ b/stileloom/http/base.py
@@ -8,7 +8,7 @@
 from tornado.web import HTTPError, RequestHandler, stream_request_body
 
 from stileloom.daemon.shell import Shell
-from stileloom.errors import ErrorKind, StileloomError, problem_of
+from stileloom.errors import ErrorKind, StileloomError, problem_document
 from stileloom.settings import NodeSettings
 
 BodyType = TypeVar("BodyType")
@@ -74,7 +74,7 @@
 
     def send_problem(self, error: StileloomError) -> None:
         """Finishes the response with a problem document (RFC 9457)."""
-        problem = problem_of(error)
+        problem = problem_document(error)
         self.set_status(problem.status)
         self.set_header("Content-Type", "application/problem+json")
         self.set_header("X-Outcome", problem.outcome)
--- a/stileloom/http/lookups.py
+++ b/stileloom/http/lookups.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from stileloom import constants
-from stileloom.errors import ErrorKind, StileloomError, problem_of
+from stileloom.errors import ErrorKind, StileloomError, problem_document
 from stileloom.http.base import ApiHandler
 from stileloom.routing import LookupAnswer, LookupRequest, TokensReady
 
@@ -200,7 +200,7 @@
             if not self._stream_started:
                 raise
             # The status line has been sent, so the error is reported as the last event.
-            self._write_event(msgspec.json.encode(problem_of(error)))
+            self._write_event(msgspec.json.encode(problem_document(error)))
             await self.finish()
             return
         if body.stream:
--- a/stileloom/logging.py
+++ b/stileloom/logging.py
@@ -114,17 +114,17 @@
     """Rate-limited event log that adds the node id to each line."""
 
     def __init__(self, node_id: str, clock: Callable[[], float] = steady_time) -> None:
-        self.budget = LineRateLimiter()
+        self.rate_limiter = LineRateLimiter()
         self._clock = clock
         self._logger = structlog.get_logger().bind(node=node_id)
 
     def emit(self, event: LogEvent, fields: dict[str, object]) -> None:
         """Writes an event, or counts it as suppressed if its rate limit is exceeded."""
         now = self._clock()
-        counts = self.budget.take_suppressed_counts(now)
+        counts = self.rate_limiter.take_suppressed_counts(now)
         if counts is not None:
             self._write(LogEvent.LINES_SUPPRESSED, {"counts": counts})
-        if self.budget.allow(event, now):
+        if self.rate_limiter.allow(event, now):
             self._write(event, fields)
 
     def _write(self, event: LogEvent, fields: dict[str, object]) -> None:
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -18,7 +18,7 @@
 from stileloom.api.dialect import Dialect, EndJob, JobCall, ReadItem, ReadResults
 from stileloom.api.routes import IngressLimits, Route, RouteKind
 from stileloom.clock import steady_time
-from stileloom.errors import ErrorKind, Outcome, StileloomError, problem_of
+from stileloom.errors import ErrorKind, Outcome, StileloomError, problem_document
 from stileloom.events import LogEvent
 from stileloom.http1.request_encoder import end_to_end_headers
 from stileloom.http1.response_decoder import ResponseHead
@@ -276,7 +276,7 @@
         return {"identity": identity_of(request.method, request.target, headers, request.body)}
 
     def _refuse(self, request: CallerRequest, error: StileloomError) -> CallerResponse:
-        problem = problem_of(error)
+        problem = problem_document(error)
         status = problem.status
         if status == 503 and error.outcome is Outcome.UNKNOWN:
             is_read = request.method == "GET"
--- a/stileloom/trace.py
+++ b/stileloom/trace.py
@@ -81,7 +81,7 @@
         return None
 
 
-def gather(sought: str, texts: Iterable[str]) -> Trace:
+def collect_trace(sought: str, texts: Iterable[str]) -> Trace:
     """Builds the trace of an id from the log lines of any number of processes."""
     lines = [line for text in texts if (line := parse(text)) is not None]
     reward_ids = {
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,7 +13,7 @@
 
 import testtools
 
-from stileloom.clock import SuspendAwareEventLoop, run_program
+from stileloom.clock import SuspendAwareEventLoop, run_main
 from tests.service_cluster import ServiceCluster, with_cluster
 
 SUSPEND_S = 10.0
@@ -64,10 +64,10 @@
                     await asyncio.sleep(0)
             return fired.is_set()
 
-        self.assertTrue(run_program(run()))
+        self.assertTrue(run_main(run()))
 
     def test_run_program_uses_the_suspend_aware_loop(self) -> None:
         async def run() -> type:
             return type(asyncio.get_running_loop())
 
-        self.assertIs(SuspendAwareEventLoop, run_program(run()))
+        self.assertIs(SuspendAwareEventLoop, run_main(run()))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -9,7 +9,7 @@
 from prometheus_client import CollectorRegistry
 
 from stileloom.daemon.process_metrics import ProcessMetrics
-from stileloom.errors import ANSWERS, ErrorKind
+from stileloom.errors import ERROR_RESPONSES, ErrorKind
 from stileloom.events import LogEvent
 from stileloom.http.metrics import Metric
 from stileloom.jobs.metrics import JobMetrics
@@ -61,15 +61,15 @@
         documented = {row[0]: row[1:5] for row in rows("ERRORS.md") if row[0] in kinds}
         expected = {
             kind.value: [
-                str(answer.http_status),
-                str(answer.exit_code),
-                answer.outcome.value,
-                str(answer.retry_after_s) if answer.retry_after_s is not None else "-",
+                str(response.http_status),
+                str(response.exit_code),
+                response.outcome.value,
+                str(response.retry_after_s) if response.retry_after_s is not None else "-",
             ]
-            for kind, answer in ANSWERS.items()
+            for kind, response in ERROR_RESPONSES.items()
         }
         self.assertEqual(expected, documented)
-        self.assertEqual(set(ErrorKind), set(ANSWERS))
+        self.assertEqual(set(ErrorKind), set(ERROR_RESPONSES))
 
     def test_metrics(self) -> None:
         documented = {
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -17,7 +17,7 @@
     OutputStream,
     configure_logs,
 )
-from stileloom.trace import gather, render
+from stileloom.trace import collect_trace, render
 
 LINE_COUNT = 10_000
 
@@ -113,7 +113,7 @@
             "not json",
             "{broken",
         ]
-        trace = gather("r1", texts)
+        trace = collect_trace("r1", texts)
         self.assertEqual(
             ["store_lost", "sampler_unlisted", "attempt_failed", "request_refused"],
             [entry.event for entry in trace.lines],
@@ -127,12 +127,12 @@
             line(2.0, "g2", "request_refused", request="r2", code="quarantined", identity="x"),
             line(2.5, "g2", "sampler_probed", request="r3", identity="y", sampler="s2"),
         ]
-        events = [entry.event for entry in gather("r2", texts).lines]
+        events = [entry.event for entry in collect_trace("r2", texts).lines]
         self.assertEqual(["sampler_probed", "request_held", "request_refused"], events)
-        self.assertEqual(3, len(gather("x", texts).lines))
+        self.assertEqual(3, len(collect_trace("x", texts).lines))
 
     def test_items_are_found_in_lists(self) -> None:
         texts = [line(1.0, "l1", "results_listed", job="j", items=["a", "b"])]
-        self.assertEqual(1, len(gather("b", texts).lines))
-        self.assertEqual(1, len(gather("j", texts).lines))
-        self.assertEqual([], gather("c", texts).lines)
+        self.assertEqual(1, len(collect_trace("b", texts).lines))
+        self.assertEqual(1, len(collect_trace("j", texts).lines))
+        self.assertEqual([], collect_trace("c", texts).lines)
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -34,7 +34,7 @@
     RewardWindow,
 )
 from stileloom.jobs.submission_check import check_submission
-from stileloom.trace import gather
+from stileloom.trace import collect_trace
 from tests.service_cluster import (
     ATTEMPTS,
     HOSTNAME,
@@ -393,5 +393,5 @@
         ]
         stamp = {"timestamp": "2026-01-01T00:00:00+00:00", "node": "n"}
         text = [msgspec.json.encode(stamp | line).decode() for line in lines]
-        events = [line.event for line in gather("i1", text).lines]
+        events = [line.event for line in collect_trace("i1", text).lines]
         self.assertEqual(["reward_asked", "attempt_failed"], events)
