--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -36,9 +36,9 @@
 from stileloom.proxy.metrics import AttemptMetrics
 from stileloom.proxy.sampler_access import SamplerAccess
 from stileloom.quarantine.authority import QuarantineService
+from stileloom.quarantine.book import QuarantineRegistry
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.quarantine.metrics import QuarantineMetrics
-from stileloom.quarantine.registry import QuarantineRegistry
 from stileloom.service_settings import ServiceSettings
 from stileloom.settings_file import split_address
 from stileloom.transport.cache_messages import ReadObjectsCall
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -11,9 +11,9 @@
 from stileloom.jobs.open_items import ItemKey, OpenItem
 from stileloom.jobs.scheduler import ItemScheduler
 from stileloom.logging import EventLog
+from stileloom.quarantine.book import MIN_PUBLISHED_CRASHES
 from stileloom.quarantine.guard import CRASH_ATTRIBUTION_WINDOW_S, QuarantineGuard
 from stileloom.quarantine.identity import identity_of
-from stileloom.quarantine.registry import MIN_PUBLISHED_CRASHES
 
 ISOLATION_RETRY_S = 0.1
 """Delay before a suspect is retried whose sampler runs another suspect."""
--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -50,7 +50,7 @@
     SubmitPrompts,
     Voter,
 )
-from stileloom.quarantine.registry import QuarantineRegistry
+from stileloom.quarantine.book import QuarantineRegistry
 
 KEY_RETENTION_S = 3600.0
 MAX_REMEMBERED_BATCHES = 256
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -117,7 +117,7 @@
         scheduler: SchedulerKind = SchedulerKind.DEFAULT,
         disabled_mechanisms: frozenset[Mechanism] = frozenset(),
     ) -> None:
-        """`without` disables mechanisms of the default scheduler, for benchmarks."""
+        """`disabled_mechanisms` are left out of the default scheduler, for benchmarks."""
         self.node_id = local_member.node_id
         self.zone = local_member.zone
         self.membership = Membership(local_member, seeds, rng)
--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -20,8 +20,8 @@
     StartTrial,
 )
 from stileloom.logging import EventLog
+from stileloom.quarantine.book import QuarantineRegistry
 from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
-from stileloom.quarantine.registry import QuarantineRegistry
 
 
 class ReplicatedRegistry(Protocol):
--- a/stileloom/quarantine/guard.py
+++ b/stileloom/quarantine/guard.py
@@ -18,10 +18,10 @@
 from stileloom.events import LogEvent
 from stileloom.logging import EventLog
 from stileloom.proxy.sampler_table import SamplerTable
+from stileloom.quarantine.book import CRASH_THRESHOLD
 from stileloom.quarantine.end_probe import ProbeResult, probe_listener
 from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
 from stileloom.quarantine.metrics import QuarantineMetrics
-from stileloom.quarantine.registry import CRASH_THRESHOLD
 from stileloom.quarantine.view import QuarantineView
 
 CRASH_ATTRIBUTION_WINDOW_S = 1.5
--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -4,8 +4,8 @@
 
 import collections
 
+from stileloom.quarantine.book import CRASH_THRESHOLD
 from stileloom.quarantine.messages import QuarantineListing, SamplerCrash, SuspectSummary
-from stileloom.quarantine.registry import CRASH_THRESHOLD
 
 MAX_PENDING = 4096
 """Bounds memory to about 400 KB; more than the requests in flight at one gateway."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -102,7 +102,7 @@
     Mutant(
         "requests under the same ends are all held at the third",
         "innocent requests",
-        "stileloom/quarantine/registry.py",
+        "stileloom/quarantine/book.py",
         "may_share_crashes = len(own_crashes) >= SHARED_CRASH_THRESHOLD",
         "may_share_crashes = True",
         f"{BOOK}::QuarantineBookTest"
@@ -120,7 +120,7 @@
     Mutant(
         "every gateway may try a held request",
         "poison requests",
-        "stileloom/quarantine/registry.py",
+        "stileloom/quarantine/book.py",
         "        if at_s < suspect.next_trial_at_s:",
         "        if at_s < 0.0:",
         f"{BOOK}::QuarantineBookTest"
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -8,7 +8,7 @@
 import msgspec
 from tornado.httpclient import HTTPResponse
 
-from stileloom.quarantine.registry import CRASH_THRESHOLD, SHARED_CRASH_THRESHOLD
+from stileloom.quarantine.book import CRASH_THRESHOLD, SHARED_CRASH_THRESHOLD
 from tests.soak.callers import Callers
 from tests.soak.deployment import Deployment
 from tests.soak.record import Record
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,13 +15,13 @@
 
 from stileloom.cli.quarantine import render
 from stileloom.jobs.messages import JobReply
+from stileloom.quarantine.book import SHARED_CRASH_THRESHOLD
 from stileloom.quarantine.messages import (
     QuarantineListed,
     ReleaseSuspectCall,
     SuspectReleased,
     WatchQuarantineCall,
 )
-from stileloom.quarantine.registry import SHARED_CRASH_THRESHOLD
 from tests.service_cluster import TIMEOUT_S, ServiceCluster, with_cluster
 
 POISON = "/charts/poison"
--- a/tests/test_quarantine_book.py
+++ b/tests/test_quarantine_book.py
@@ -4,8 +4,7 @@
 
 import testtools
 
-from stileloom.quarantine.messages import SamplerCrash
-from stileloom.quarantine.registry import (
+from stileloom.quarantine.book import (
     CRASH_RETENTION_S,
     CRASH_THRESHOLD,
     INITIAL_QUARANTINE_S,
@@ -13,6 +12,7 @@
     SHARED_CRASH_THRESHOLD,
     QuarantineRegistry,
 )
+from stileloom.quarantine.messages import SamplerCrash
 from stileloom.quarantine.view import SUCCESS_RETENTION_S, QuarantineView
 
 NOW = 1000.0
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from stileloom.quarantine.book import CRASH_THRESHOLD, QuarantineRegistry
 from stileloom.quarantine.messages import SamplerCrash
-from stileloom.quarantine.registry import CRASH_THRESHOLD, QuarantineRegistry
 from stileloom.quarantine.view import QuarantineView
 
 GATEWAYS = 300
