--- a/stileloom/configuration/authority.py
+++ b/stileloom/configuration/authority.py
@@ -1,7 +1,7 @@
 """Leader side of configuration distribution.
 
-Grants leases to readers, raises the revision floor in the ledger, and determines the revision
-in force, which is the lowest that any reader's grant confirms.
+Grants leases to readers, raises the revision floor in the ledger, and determines the revision in
+force: the lowest revision confirmed under any grant that has not expired.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     def __init__(self, epoch: int, started_at: float) -> None:
         self._epoch = epoch
-        # Grants of earlier leaders may still be valid, so no revision is declared in force yet.
+        # No revision is declared in force until all grants of earlier leaders have expired.
         self._earlier_grants_expire_at = started_at + constants.CONFIGURATION_LEASE_S
         self._grants: dict[str, _ReaderGrant] = {}
         self._pending: dict[str, _PendingRequest] = {}
@@ -60,7 +60,7 @@
     def on_request(
         self, now: float, sender: str, message: GrantRequest, floor: int
     ) -> list[Effect]:
-        """Answers a grant request; first raises the floor if its revision is newer."""
+        """Answers a grant request, after raising the floor if the requested revision is higher."""
         if message.revision > floor:
             self._pending[sender] = _PendingRequest(sender, message)
             if message.revision <= self._proposed_floor:
--- a/stileloom/configuration/effects.py
+++ b/stileloom/configuration/effects.py
@@ -6,13 +6,13 @@
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True):
-    """Watch the object API for a newer revision; answered by `NodeCore.configuration_fetched`."""
+    """Watch the object API for a newer revision; completed by `NodeCore.configuration_fetched`."""
 
     after_revision: int
 
 
 class FetchMachines(msgspec.Struct, frozen=True):
-    """Read the machine list; answered by `NodeCore.machines_fetched`."""
+    """Read the machine list; completed by `NodeCore.machines_fetched`."""
 
 
 class ConfigurationAdopted(msgspec.Struct, frozen=True):
--- a/stileloom/configuration/messages.py
+++ b/stileloom/configuration/messages.py
@@ -1,8 +1,8 @@
 """Messages of the configuration protocol.
 
-Leases flow from the leader to readers (grants) and from readers to nodes (renewals). The
-receiver requests each lease with a nonce and counts its duration from the time of the request on
-its own clock. Configurations are pulled when revisions differ.
+The leader issues leases to readers (grants), and readers issue leases to nodes (renewals). The
+holder requests each lease with a nonce and counts its duration, on its own clock, from the time
+it sent the request. A node that learns of a newer revision pulls the configuration.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
     revision: int
     """Highest revision held by the reader; 0 if none."""
     confirmed: int
-    """Lowest revision held by the reader and by all nodes with a lease from it."""
+    """Lowest of the reader's revision and those of all nodes with a lease from it.
+
+    0 if leases from an earlier term as reader may still be valid.
+    """
 
 
 class GrantReply(msgspec.Struct, frozen=True, tag=True):
@@ -47,7 +50,7 @@
 
 
 class RenewReply(msgspec.Struct, frozen=True, tag=True):
-    """The reader's revision, and a lease if the node already holds it (otherwise 0 seconds)."""
+    """The reader's revision; `lease_s` is 0 if the node's own revision is older."""
 
     nonce: int
     revision: int
@@ -60,7 +63,7 @@
 
 
 class RevisionNotice(msgspec.Struct, frozen=True, tag=True):
-    """Sent by a reader that adopted a new revision, for nodes to pull."""
+    """Sent by a reader that adopted a new revision, so that nodes pull it."""
 
     revision: int
 
--- a/stileloom/configuration/node.py
+++ b/stileloom/configuration/node.py
@@ -23,7 +23,7 @@
 
 
 class ConfigurationNode:
-    """Keeps the configuration of a node current; runs a `Reader` while the node is designated."""
+    """Keeps a node's configuration current; runs a `Reader` while it is a designated reader."""
 
     def __init__(self, node_id: str, zone: str) -> None:
         self.store = ConfigurationStore()
@@ -40,20 +40,21 @@
     def tick(self, now: float, readers: list[str], leader: str | None) -> list[Effect]:
         """Updates the reader role and sends due requests.
 
-        `readers` are the designated readers of this zone; `leader` is the ledger leader.
+        `readers` are the designated readers of this zone. `leader` is the ledger leader, or a voter
+        to contact if the leader is unknown.
         """
         effects = self._update_role(now, readers)
         if self.reader is not None:
             effects += self.reader.tick(now, leader)
         elif now >= self._next_renew_at:
-            effects += self._renew(now, readers)
+            effects += self._renew_lease(now, readers)
         return effects + self._report_lease_expiry(now)
 
     def handle(self, now: float, sender: str, message: object) -> list[Effect]:
         """Handles a message of the configuration protocol."""
-        before = self.store.revision
+        previous_revision = self.store.revision
         effects = self._dispatch(now, sender, message)
-        return effects + self._adoption_effects(before)
+        return effects + self._adoption_effects(previous_revision)
 
     def configuration_fetched(
         self, now: float, configuration: Configuration | None, leader: str | None
@@ -94,10 +95,13 @@
             return self.reader.on_renew(now, sender, message)
         return []
 
-    def _adoption_effects(self, before: int) -> list[Effect]:
-        if self.store.revision == before:
+    def _adoption_effects(self, previous_revision: int) -> list[Effect]:
+        if self.store.revision == previous_revision:
             return []
-        fields: dict[str, object] = {"revision": self.store.revision, "before": before}
+        fields: dict[str, object] = {
+            "revision": self.store.revision,
+            "before": previous_revision,
+        }
         adopted = ConfigurationAdopted(self.store.revision)
         return [Emit(LogEvent.CONFIGURATION_ADOPTED, fields), adopted]
 
@@ -111,7 +115,7 @@
             return [Emit(LogEvent.READER_STOPPED, {"zone": self._zone})]
         return []
 
-    def _renew(self, now: float, readers: list[str]) -> list[Effect]:
+    def _renew_lease(self, now: float, readers: list[str]) -> list[Effect]:
         if not readers:
             return []
         if not self._renewal_answered:
--- a/stileloom/configuration/reader.py
+++ b/stileloom/configuration/reader.py
@@ -32,7 +32,7 @@
 
 
 class _StartingNode(msgspec.Struct):
-    """A node without a revision, waiting for a grant requested after its renewal request."""
+    """A node without a revision, answered only under a grant requested after its own request."""
 
     node_id: str
     request: RenewRequest
@@ -153,9 +153,9 @@
             self._starting_nodes = [node for node in self._starting_nodes if node.node_id != sender]
             self._starting_nodes.append(_StartingNode(sender, message, now))
             return []
-        return self._renew(now, sender, message)
+        return self._reply_to_renewal(now, sender, message)
 
-    def _renew(self, now: float, node_id: str, message: RenewRequest) -> list[Effect]:
+    def _reply_to_renewal(self, now: float, node_id: str, message: RenewRequest) -> list[Effect]:
         if not self.serving(now):
             return []
         lease_s = min(constants.CONFIGURATION_LEASE_S, self._grant_expires_at - now)
@@ -188,7 +188,7 @@
             node for node in self._starting_nodes if node.received_at > grant_sent_at
         ]
         for node in ready:
-            effects += self._renew(now, node.node_id, node.request)
+            effects += self._reply_to_renewal(now, node.node_id, node.request)
         return effects
 
     def _request_grant(self, now: float, leader: str) -> list[Effect]:
--- a/stileloom/configuration/store.py
+++ b/stileloom/configuration/store.py
@@ -25,7 +25,7 @@
         return self.configuration.revision if self.configuration is not None else 0
 
     def adopt(self, now: float, configuration: Configuration) -> bool:
-        """Stores a configuration if its revision is higher than the held one."""
+        """Stores a configuration if its revision is higher; returns whether it did."""
         if configuration.revision <= self.revision:
             return False
         self.configuration = configuration
--- a/stileloom/constants.py
+++ b/stileloom/constants.py
@@ -12,7 +12,7 @@
 """Interval at which a node compares its table with a representative's, in case gossip was lost."""
 DEAD_MEMBER_PROBE_INTERVAL_S = 5.0
 STARTUP_SEED_SYNC_INTERVAL_S = 3.0
-"""Interval during `STARTUP_PERIOD_S`, when nodes can form groups that do not know one another."""
+"""Used during `STARTUP_PERIOD_S`, when groups of nodes may not have discovered one another."""
 SEED_SYNC_INTERVAL_S = 30.0
 STARTUP_PERIOD_S = 60.0
 REPRESENTATIVES_PER_ZONE = 2
@@ -24,7 +24,7 @@
 RESTART_PERIOD_S = 0.8
 """Period after its start during which a replica uses the restart election timeouts."""
 RESTART_ELECTION_RETRY_INTERVAL_S = 0.15
-"""Interval of vote requests by a restarted last leader, since other replicas may start later."""
+"""Interval at which a restarted former leader repeats vote requests; others may start later."""
 RESTART_ELECTION_MIN_S = 1.2
 """Minimum election timeout of other restarted voters, so that the last leader campaigns first."""
 RESTART_ELECTION_MAX_S = 1.8
@@ -65,7 +65,7 @@
 ASSIGNMENT_TIMEOUT_S = 5.0
 """Time without a report from its owner after which an assignment is dropped."""
 SUSPECT_ASSIGNMENT_TIMEOUT_S = 2.5
-"""The same for an owner that is not alive; must exceed the interval of its running reports."""
+"""The same for a suspect, dead or unknown owner; must exceed its running report interval."""
 CONTROLLER_DISCOVERY_PERIOD_S = 2.0
 """Time for which a new controller collects running reports before it assigns generations."""
 
--- a/stileloom/effects.py
+++ b/stileloom/effects.py
@@ -36,4 +36,4 @@
 
 
 Effect = Any
-"""A struct of this module or of a component's own `effects` module."""
+"""A struct defined in this module or by the component that returns it."""
--- a/tests/configuration_spec.py
+++ b/tests/configuration_spec.py
@@ -12,7 +12,7 @@
     RestartNode        the node loses its revision; it is then served only under a newer grant
     RestartReader      a reader loses its state
     NewLeader          the leader's in-memory state is lost; the floor remains in the ledger
-    EarlierGrantsEnd   the leader has replaced or outlived all grants of earlier leaders
+    EarlierGrantsEnd   all grants of earlier leaders have expired or been renewed
     InForce            the leader declares the lowest revision confirmed by all grants
 
 Invariants: the node never acts under a lease below a revision that was in force, and is never
@@ -40,7 +40,7 @@
     """Revision served by each reader."""
     grant: tuple[bool, ...]
     confirmed: tuple[int, ...]
-    """Revision confirmed under each grant, as known to the leader; -1 if it knows no grant."""
+    """Revision confirmed under each grant, as known to the leader; -1 if it knows of no grant."""
     earlier_grants: bool
     """Whether grants of an earlier leader may still be valid."""
     node: int
@@ -148,7 +148,7 @@
         return found
 
     def restarts(state: Spec) -> list[tuple[str, Spec]]:
-        """Restarts the node; readers and leader retain their records of its leases."""
+        """Restarts the node, which loses its revision and leases; grants and `confirmed` remain."""
         if not state.node:
             return []
         restarted = state._replace(node=0, leases=(False,) * READERS, starting=(True,) * READERS)
@@ -158,10 +158,10 @@
         found: list[tuple[str, Spec]] = []
         replaced = state._replace(confirmed=(-1,) * READERS, earlier_grants=True)
         found.append(("NewLeader", replaced))
-        unknown = any(
+        has_unknown_grant = any(
             state.grant[reader] and state.confirmed[reader] < 0 for reader in range(READERS)
         )
-        if state.earlier_grants and not unknown:
+        if state.earlier_grants and not has_unknown_grant:
             found.append(("EarlierGrantsEnd", state._replace(earlier_grants=False)))
         confirmed = [value for value in state.confirmed if value >= 0]
         if not state.earlier_grants and confirmed:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -51,7 +51,7 @@
         authority.on_request(0.5, "rb", GrantRequest(2, "b", 7, 7), floor=7)
         self.assertEqual(7, authority.in_force)
 
-    def test_expired_grant_does_not_hold_back_other_zones(self) -> None:
+    def test_expired_grant_does_not_limit_revision_in_force(self) -> None:
         authority = ConfigurationAuthority(epoch=1, started_at=-10.0)
         authority.on_request(0.0, "rb", GrantRequest(1, "b", 6, 6), floor=6)
         authority.on_request(1.0, "ra", GrantRequest(1, "a", 7, 7), floor=7)
