--- a/stileloom/membership/messages.py
+++ b/stileloom/membership/messages.py
@@ -63,7 +63,7 @@
 
 
 class MembershipTable(msgspec.Struct, frozen=True, tag=True):
-    """Member records, in part or all of a table; `reply_wanted` requests the recipient's table."""
+    """Some or all records of the sender's table; `reply_wanted` requests the recipient's table."""
 
     members: list[Member]
     reply_wanted: bool
--- a/stileloom/membership/swim.py
+++ b/stileloom/membership/swim.py
@@ -28,7 +28,7 @@
 
 
 class Seed(msgspec.Struct, frozen=True):
-    """Address from which a starting node requests the member table."""
+    """Configured address of a node from which the member table can be requested."""
 
     host: str
     port: int
@@ -71,8 +71,8 @@
         self._next_seed_sync_at = 0.0
         self._next_dead_probe_at = 0.0
         self._digest: int | None = None
-        self._alive: dict[str | None, list[Member]] = {}
-        self._eligible: dict[str | None, list[str]] = {}
+        self._alive_cache: dict[str | None, list[Member]] = {}
+        self._eligible_cache: dict[str | None, list[str]] = {}
         self.eligible_version = 0
         """Incremented when the set of eligible nodes changes; callers use it to refresh caches."""
 
@@ -97,24 +97,24 @@
 
     def alive(self, zone: str | None = None) -> list[Member]:
         """Returns the members that are not dead (alive or suspect), of one zone or all."""
-        if zone not in self._alive:
-            self._alive[zone] = [
+        if zone not in self._alive_cache:
+            self._alive_cache[zone] = [
                 member
                 for member in self._members.values()
                 if member.state != MemberState.DEAD and (zone is None or member.zone == zone)
             ]
-        return self._alive[zone]
+        return self._alive_cache[zone]
 
     def eligible(self, zone: str | None = None) -> list[str]:
         """Returns the ids of nodes eligible for new work, of one zone or all.
 
         Suspect and leaving members are excluded.
         """
-        if zone not in self._eligible:
-            self._eligible[zone] = [
+        if zone not in self._eligible_cache:
+            self._eligible_cache[zone] = [
                 member.node_id for member in self.alive(zone) if _is_eligible(member)
             ]
-        return self._eligible[zone]
+        return self._eligible_cache[zone]
 
     def zones(self) -> list[str]:
         """Returns all zones with a member that is not dead, sorted."""
@@ -160,7 +160,7 @@
         if isinstance(message, Acknowledgement):
             return self._merge_all(now, message.updates) + self._on_acknowledgement(now, message)
         if isinstance(message, PingRequest):
-            return self._merge_all(now, message.updates) + self._relay(now, sender, message)
+            return self._merge_all(now, message.updates) + self._relay_probe(now, sender, message)
         if isinstance(message, MembershipDigest):
             if message.digest == self._table_digest():
                 return []
@@ -207,7 +207,7 @@
     def _ping(self, now: float, target: str) -> Effect:
         self._sequence += 1
         self._probes[self._sequence] = _Probe(target, now)
-        return Send(target, Ping(self._sequence, self._select_gossip(about=target)))
+        return Send(target, Ping(self._sequence, self._select_gossip(recipient=target)))
 
     def _check_probes(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
@@ -229,11 +229,13 @@
         chosen = self._rng.sample(sorted(relays), count)
         return [Send(node, PingRequest(sequence, target, self._select_gossip())) for node in chosen]
 
-    def _relay(self, now: float, sender: str, message: PingRequest) -> list[Effect]:
+    def _relay_probe(self, now: float, sender: str, message: PingRequest) -> list[Effect]:
         self._sequence += 1
         self._relays[self._sequence] = _Relay(sender, message.sequence, now)
         return [
-            Send(message.target, Ping(self._sequence, self._select_gossip(about=message.target)))
+            Send(
+                message.target, Ping(self._sequence, self._select_gossip(recipient=message.target))
+            )
         ]
 
     def _on_acknowledgement(self, now: float, message: Acknowledgement) -> list[Effect]:
@@ -322,9 +324,9 @@
             self.local_member = member
         before = self._members.get(member.node_id)
         self._members[member.node_id] = member
-        self._alive.clear()
+        self._alive_cache.clear()
         if before is None or _is_eligible(before) != _is_eligible(member):
-            self._eligible.clear()
+            self._eligible_cache.clear()
             self.eligible_version += 1
         self._transmissions_left[member.node_id] = self._retransmission_limit()
         self._digest = None
@@ -332,10 +334,10 @@
     def _retransmission_limit(self) -> int:
         return constants.GOSSIP_RETRANSMIT_FACTOR * max(1, len(self._members).bit_length())
 
-    def _select_gossip(self, about: str | None = None) -> list[Member]:
+    def _select_gossip(self, recipient: str | None = None) -> list[Member]:
         """Selects the updates with the most transmissions left and counts this transmission.
 
-        Includes the record of `about` if it is suspect or dead, so that the member can refute it.
+        Includes the recipient's own record if it is suspect or dead, so that it can refute it.
         """
         ranked = sorted(self._transmissions_left, key=lambda node: -self._transmissions_left[node])
         chosen = ranked[: constants.GOSSIP_UPDATES_PER_MESSAGE]
@@ -343,7 +345,7 @@
             self._transmissions_left[node_id] -= 1
             if self._transmissions_left[node_id] <= 0:
                 del self._transmissions_left[node_id]
-        member = self._members.get(about) if about is not None else None
+        member = self._members.get(recipient) if recipient is not None else None
         updates = [self._members[node_id] for node_id in chosen]
         if member is not None and member.state != MemberState.ALIVE and member not in updates:
             updates.append(member)
@@ -375,13 +377,20 @@
         return [SendToAddress(seed.host, seed.port, table)]
 
     def _sync_with_representative(self) -> list[Effect]:
-        others = [r for r in self.representatives(self.local_member.zone) if r != self.node_id]
+        others = [
+            node_id
+            for node_id in self.representatives(self.local_member.zone)
+            if node_id != self.node_id
+        ]
         if not others:
             return []
         return [Send(self._rng.choice(others), MembershipDigest(self._table_digest()))]
 
     def _sync_zones(self) -> list[Effect]:
-        """Compares a representative's table with a peer of another zone and one of its own."""
+        """Sends the table digest to one node of another zone and one of the local zone.
+
+        Only representatives do so.
+        """
         if self.node_id not in self.representatives(self.local_member.zone):
             return []
         others = [zone for zone in self.zones() if zone != self.local_member.zone]
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of a node: connects its components and holds no sockets, clock or disk.
+"""Sans-I/O core of a node: connects its components; performs no I/O and reads no clock.
 
 Both the daemon and the simulator drive this class. Components return effects. Effects addressed
 to another component of the same node are executed here (`_process_effects`); all others are
@@ -136,7 +136,8 @@
         self.wall_time_s = 0.0
         self._scheduler_kind = scheduler
         self._disabled_mechanisms = disabled_mechanisms
-        # Shared by successive controllers: a leader lease can expire and be renewed in one epoch.
+        # Shared by all controllers, so that no number repeats within an epoch: an epoch has several
+        # controllers if its leader lease expires and is renewed.
         self._controller_sequence = itertools.count(1)
         self._internal_tickets: dict[int, _CommitTicket | _ClaimTicket | None] = {}
         self._next_controller_tick_at = now
@@ -253,7 +254,7 @@
 
     def _on_grant_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, GrantRequest)
-        if self.authority is None or not self._may_act(now) or self.replica is None:
+        if self.authority is None or not self._is_active_leader(now) or self.replica is None:
             return [Send(sender, self._leader_hint(now))]
         floor = self.replica.state.configuration_floor
         return self.authority.on_request(now, sender, message, floor)
@@ -265,7 +266,7 @@
 
     def _on_command_forward(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, CommandForward)
-        if self.replica is None or not self._may_act(now):
+        if self.replica is None or not self._is_active_leader(now):
             return [
                 Send(sender, CommandAnswer(message.ticket, None, self._leader_hint(now).leader))
             ]
@@ -278,7 +279,7 @@
 
     def _on_delivery_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, DeliveryRequest)
-        if self.controller is None or self.replica is None or not self._may_act(now):
+        if self.controller is None or self.replica is None or not self._is_active_leader(now):
             return [Send(sender, DeliveryAnswer(message.ticket, None, not_leader=True))]
         return self.controller.pending_reads.add_read(now, sender, message, self.replica.state)
 
@@ -303,7 +304,7 @@
 
     # Component timers.
 
-    def _may_act(self, now: float) -> bool:
+    def _is_active_leader(self, now: float) -> bool:
         return self.replica is not None and self.replica.is_active_leader(now)
 
     def _admits_rollouts(self, now: float) -> bool:
@@ -325,7 +326,7 @@
             self.owner.schedule_report()
 
     def _tick_controller(self, now: float) -> list[Effect]:
-        if not self._may_act(now) or self.replica is None:
+        if not self._is_active_leader(now) or self.replica is None:
             return self._stop_controller()
         effects = self._start_controller(now)
         view = self._controller_view(now)
@@ -359,7 +360,7 @@
 
     def _controller_view(self, now: float) -> ControllerView | None:
         configuration = self.configuration.store.configuration
-        if self.replica is None or configuration is None or not self._may_act(now):
+        if self.replica is None or configuration is None or not self._is_active_leader(now):
             return None
         return ControllerView(
             state=self.replica.state,
@@ -387,7 +388,7 @@
     # Driver callbacks.
 
     def persisted(self, now: float, write_id: int) -> list[Effect]:
-        """Reports that the write of a `Persist` effect is durable."""
+        """Completes `Persist`: its write is durable."""
         if self.replica is None:
             return []
         return self._process_effects(now, self.replica.persisted(now, write_id))
@@ -466,13 +467,14 @@
 
         The caller must retry if no `DeliveryFinished` effect follows.
         """
-        return self._ask_leader(now, request)
+        return self._send_to_leader(now, request)
 
     def request_status(self, now: float, ticket: int) -> list[Effect]:
         """Requests the leader's status; a `StatusFinished` effect may follow."""
-        return self._ask_leader(now, StatusRequest(ticket))
+        return self._send_to_leader(now, StatusRequest(ticket))
 
-    def _ask_leader(self, now: float, message: object) -> list[Effect]:
+    def _send_to_leader(self, now: float, message: object) -> list[Effect]:
+        """Sends a message to the leader, or to a voter if the leader is unknown."""
         leader = self.leader(now) or self.tracker.next_target(now)
         return self._process_effects(now, [Send(leader, message)]) if leader is not None else []
 
@@ -534,14 +536,14 @@
             return self._submit_internal(now, effect.command, _CommitTicket(effect.key))
         if isinstance(effect, ClaimIdempotencyKey):
             return self._submit_internal(
-                now, self._claim(effect.request), _ClaimTicket(effect.request.request_id)
+                now, self._claim_command(effect.request), _ClaimTicket(effect.request.request_id)
             )
         if isinstance(effect, ReleaseIdempotencyKey):
             request = effect.request
             command = ReleaseKey(request.idempotency_key, request.request_id)
             return self._submit_internal(now, command, None)
         if isinstance(effect, CommandFinished) and effect.ticket in self._internal_tickets:
-            return self._on_internal_answer(now, effect)
+            return self._on_internal_result(now, effect)
         if isinstance(effect, ConfigurationAdopted):
             return self._on_configuration_adopted()
         if isinstance(effect, MachinesAdopted):
@@ -551,7 +553,7 @@
     def _is_local(self, effect: Send) -> bool:
         return effect.to == self.node_id
 
-    def _claim(self, request: LookupRequest) -> ClaimKey:
+    def _claim_command(self, request: LookupRequest) -> ClaimKey:
         return ClaimKey(
             request.idempotency_key,
             request.body_digest,
@@ -561,7 +563,7 @@
         )
 
     def _propose(self, now: float, command: Command, ticket: object) -> list[Effect]:
-        if self.replica is None or not self._may_act(now):
+        if self.replica is None or not self._is_active_leader(now):
             return self._on_applied(now, ticket, None)
         return self.replica.propose(now, command, ticket)
 
@@ -572,7 +574,7 @@
         self._internal_tickets[number] = ticket
         return effects
 
-    def _on_internal_answer(self, now: float, effect: CommandFinished) -> list[Effect]:
+    def _on_internal_result(self, now: float, effect: CommandFinished) -> list[Effect]:
         ticket = self._internal_tickets.pop(effect.ticket)
         if isinstance(ticket, _CommitTicket):
             return self.owner.committed(now, ticket.key, effect.result)
@@ -593,7 +595,7 @@
         return []
 
     def _on_floor_raised(self, now: float) -> list[Effect]:
-        if self.authority is None or self.replica is None or not self._may_act(now):
+        if self.authority is None or self.replica is None or not self._is_active_leader(now):
             return []
         return self.authority.floor_raised(now, self.replica.state.configuration_floor)
 
--- a/stileloom/node/ownership.py
+++ b/stileloom/node/ownership.py
@@ -79,8 +79,8 @@
 
     def _compute_owned(self) -> set[str]:
         local = self._membership.local_member
-        # Samplers of another zone with eligible nodes are owned there and need no hashing.
-        other_owner_zones = {
+        # A zone with eligible nodes owns its samplers, so those of other such zones are skipped.
+        other_eligible_zones = {
             zone
             for zone in self._membership.zones()
             if zone != local.zone and self._membership.eligible(zone)
@@ -88,18 +88,18 @@
         return {
             view.sampler_id
             for view in self._table.views()
-            if view.machine.zone not in other_owner_zones
+            if view.machine.zone not in other_eligible_zones
             and self.owner_of(view.sampler_id) == local.node_id
         }
 
     def _compute_gateways(self, configuration: Configuration | None) -> dict[str, list[str]]:
         """Maps owned samplers to gateways; only for pools used by lookup services."""
         services = configuration.services.values() if configuration is not None else []
-        served = {service.pool for service in services}
+        service_pools = {service.pool for service in services}
         pools = {view.machine.pool for view in self._table.views() if view.sampler_id in self.owned}
         zone = self._membership.local_member.zone
         gateways: dict[str, list[str]] = {}
-        for pool in sorted(pools & served):
+        for pool in sorted(pools & service_pools):
             machines = self._machines(pool)
             for member in self._membership.alive():
                 if member.zone != zone and machines.can_fill_subset(member.zone):
