--- a/stileloom/routing/execution.py
+++ b/stileloom/routing/execution.py
@@ -28,7 +28,7 @@
     QUEUED = "queued"
     RUNNING = "running"
     CONFIRMING = "confirming"
-    """The last attempt failed; the engine is asked whether it was started."""
+    """The last attempt failed; the engine has yet to reply whether it started that attempt."""
 
 
 class Execution(msgspec.Struct):
--- a/stileloom/routing/explain.py
+++ b/stileloom/routing/explain.py
@@ -1,4 +1,4 @@
-"""Routing explanations, and the inputs that policies get for a lookup."""
+"""Builds routing explanations and the policy inputs of a lookup."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     )
 
 
-def explanation(
+def build_explanation(
     request: LookupRequest,
     pool: str,
     candidate_views: list[CandidateView],
@@ -32,7 +32,7 @@
     inputs: RuleInputs,
     wall_time_s: float,
 ) -> Explanation:
-    """Builds the explanation from the eligibility of each sampler."""
+    """Selects a sampler from the eligible candidates and lists the rules that applied."""
     candidates = [
         Candidate(candidate.sampler_id, candidate.zone, candidate.load)
         for candidate in candidate_views
--- a/stileloom/routing/gateway.py
+++ b/stileloom/routing/gateway.py
@@ -17,7 +17,7 @@
 from stileloom.policy import PolicyBook, PoolInput
 from stileloom.routing.choice import Candidate, choose_sampler
 from stileloom.routing.execution import Execution, ExecutionState, is_attempt_id
-from stileloom.routing.explain import explanation, rule_inputs
+from stileloom.routing.explain import build_explanation, rule_inputs
 from stileloom.routing.limits import RetryBudget, SamplerEjections, TenantLimits
 from stileloom.routing.messages import (
     AnswerReady,
@@ -63,7 +63,7 @@
         self._executions: dict[str, Execution] = {}
         self._by_attempt: dict[str, str] = {}
         self._queues: dict[str, list[str]] = {}
-        self._in_flight: dict[str, int] = {}
+        self._attempts_by_sampler: dict[str, int] = {}
         self._retry_budget = RetryBudget(now)
         self._tenants = TenantLimits()
         self._ejections = SamplerEjections()
@@ -138,7 +138,7 @@
                 return self._fail(execution, error)
             return self._enqueue(now, execution, service, view)
         if isinstance(result, Refused):
-            # An earlier request with this key may have run: use the error kind's outcome.
+            # An earlier request with this key may have run; the error kind determines the outcome.
             error = StileloomError(result.kind, result.detail)
             return self._send_error(execution, error=error, outcome=error.outcome)
         error = StileloomError(
@@ -176,11 +176,11 @@
         return []
 
     def _expected_wait_s(
-        self, execution: Execution, service: Service, view: GatewayView, ahead: int
+        self, execution: Execution, service: Service, view: GatewayView, queued_before: int
     ) -> float:
         time_s = self._service_time_s.get(execution.request.service, INITIAL_SERVICE_TIME_S)
         capacity = max(1, len(view.subset(service.pool)) * service.concurrency_per_sampler)
-        return time_s * (ahead + 1) / capacity
+        return time_s * (queued_before + 1) / capacity
 
     def tick(self, now: float, view: GatewayView) -> list[Effect]:
         """Fails requests that timed out or stalled, and starts queued requests."""
@@ -247,7 +247,7 @@
             return None
         generate = execution.begin_attempt(now, chosen)
         self._by_attempt[execution.attempt_id] = execution.request.request_id
-        self._in_flight[chosen] = self._in_flight.get(chosen, 0) + 1
+        self._attempts_by_sampler[chosen] = self._attempts_by_sampler.get(chosen, 0) + 1
         return [OpenStream(chosen, generate)]
 
     def _samplers(self, service: Service, view: GatewayView) -> list[SamplerView]:
@@ -255,7 +255,7 @@
         return [sampler for sampler in found if sampler is not None]
 
     def _load(self, sampler: SamplerView) -> int:
-        return max(sampler.running, self._in_flight.get(sampler.sampler_id, 0))
+        return max(sampler.running, self._attempts_by_sampler.get(sampler.sampler_id, 0))
 
     def _ineligibility(
         self,
@@ -266,7 +266,7 @@
         service: Service,
         view: GatewayView,
     ) -> str:
-        """Why a sampler cannot take a request now; empty if it can."""
+        """Returns why a sampler cannot take a request now, or an empty string if it can."""
         if sampler.leaving:
             return "leaving"
         if not sampler.usable(now) or sampler.load is None:
@@ -275,7 +275,7 @@
             return f"has role {sampler.load.role.value} and model {sampler.load.model}"
         if self._ejections.is_ejected(now, sampler.sampler_id):
             return "ejected after failures"
-        if self._in_flight.get(sampler.sampler_id, 0) >= service.concurrency_per_sampler:
+        if self._attempts_by_sampler.get(sampler.sampler_id, 0) >= service.concurrency_per_sampler:
             return "at the concurrency limit of this gateway"
         pool = view.configuration.pools.get(service.pool) if view.configuration else None
         home_role = pool.home_role.value if pool is not None else ""
@@ -298,7 +298,7 @@
 
     def stream_chunk(self, now: float, attempt_id: str, chunk: StreamChunk) -> list[Effect]:
         """Handles tokens of an attempt; chunks of earlier attempts are dropped."""
-        execution = self._current(attempt_id)
+        execution = self._execution_of_attempt(attempt_id)
         if execution is None:
             return _late_response(attempt_id)
         first_token = len(execution.tokens)
@@ -315,8 +315,8 @@
     def stream_end(
         self, now: float, attempt_id: str, end: StreamEnd, view: GatewayView
     ) -> list[Effect]:
-        """Handles the end frame of an attempt, which carries the token count."""
-        execution = self._current(attempt_id)
+        """Handles the end frame of an attempt; its token count shows whether any are missing."""
+        execution = self._execution_of_attempt(attempt_id)
         if execution is None:
             return _late_response(attempt_id)
         if not execution.is_complete(end):
@@ -350,7 +350,7 @@
 
         `surely_not_begun` is set if no byte was sent or the sampler refused the request.
         """
-        execution = self._current(attempt_id)
+        execution = self._execution_of_attempt(attempt_id)
         if execution is None:
             return []
         return self._attempt_failed(now, execution, surely_not_begun, detail, view)
@@ -364,7 +364,7 @@
         view: GatewayView,
     ) -> list[Effect]:
         effects: list[Effect] = []
-        # A sampler refuses while it swaps weights or after a role change; that is no failure.
+        # Refusals do not count: samplers refuse requests while they swap weights or change role.
         if not surely_not_begun and self._ejections.record_failure(now, execution.sampler_id):
             effects.append(Emit(LogEvent.SAMPLER_EJECTED, {"sampler": execution.sampler_id}))
         self._end_attempt(execution)
@@ -373,7 +373,7 @@
         if not execution.can_retry:
             execution.state = ExecutionState.CONFIRMING
             execution.last_progress_at = now
-            # The engine tombstones the ID, so a reply of "not run" stays true.
+            # An engine never starts an attempt that it has reported as not started.
             return [*effects, ConfirmNotRun(execution.sampler_id, execution.attempt_id)]
         return effects + self._retry(now, execution, detail, view)
 
@@ -400,7 +400,7 @@
     def cancel_confirmed(
         self, now: float, attempt_id: str, state: CancelState | None
     ) -> list[Effect]:
-        """Handles the engine's reply whether the request was started; None if there was none."""
+        """Handles the engine's reply to `ConfirmNotRun`; `state` is None if there was no reply."""
         request_id = attempt_id.rsplit("#", 1)[0]
         execution = self._executions.get(request_id)
         if execution is None or execution.state is not ExecutionState.CONFIRMING:
@@ -425,14 +425,14 @@
 
     # Completion.
 
-    def _current(self, attempt_id: str) -> Execution | None:
+    def _execution_of_attempt(self, attempt_id: str) -> Execution | None:
         request_id = self._by_attempt.get(attempt_id)
         return self._executions.get(request_id) if request_id is not None else None
 
     def _end_attempt(self, execution: Execution) -> None:
         if self._by_attempt.pop(execution.attempt_id, None) is not None:
-            left = self._in_flight.get(execution.sampler_id, 1) - 1
-            self._in_flight[execution.sampler_id] = max(0, left)
+            remaining = self._attempts_by_sampler.get(execution.sampler_id, 1) - 1
+            self._attempts_by_sampler[execution.sampler_id] = max(0, remaining)
 
     def _observe_service_time(self, now: float, execution: Execution) -> None:
         name = execution.request.service
@@ -441,7 +441,7 @@
         self._service_time_s[name] = previous + SERVICE_TIME_SMOOTHING * (elapsed_s - previous)
 
     def _cancel(self, execution: Execution, error: StileloomError) -> list[Effect]:
-        """Fails a request in any state and closes its stream."""
+        """Fails a request in any state and closes its stream, if one is open."""
         effects: list[Effect] = []
         if execution.state is ExecutionState.RUNNING:
             effects.append(CloseStream(execution.sampler_id, execution.attempt_id))
@@ -452,8 +452,8 @@
         """Fails a request; releases its idempotency key if it was not run."""
         effects: list[Effect] = []
         outcome = execution.outcome_on_failure
-        claimed = execution.state is not ExecutionState.CLAIMING
-        if execution.request.idempotency_key and outcome is Outcome.NOT_RUN and claimed:
+        key_claimed = execution.state is not ExecutionState.CLAIMING
+        if execution.request.idempotency_key and outcome is Outcome.NOT_RUN and key_claimed:
             effects.append(ReleaseWanted(execution.request))
         return effects + self._send_error(execution, error=error, outcome=outcome)
 
@@ -480,7 +480,7 @@
     def explain(self, now: float, request: LookupRequest, view: GatewayView) -> Explanation:
         """Explains how a request would be routed. Raises the errors of admission."""
         service, pool = self._admit(now, request, view)
-        rows = [
+        candidate_views = [
             CandidateView(
                 sampler.sampler_id,
                 sampler.machine.zone,
@@ -492,8 +492,14 @@
             for reason in [self._ineligibility(now, sampler, pool.model, request, service, view)]
         ]
         inputs = rule_inputs(request)
-        return explanation(
-            request, service.pool, rows, self._zone, view.policies, inputs, view.wall_time_s
+        return build_explanation(
+            request,
+            service.pool,
+            candidate_views,
+            self._zone,
+            view.policies,
+            inputs,
+            view.wall_time_s,
         )
 
 
--- a/stileloom/routing/limits.py
+++ b/stileloom/routing/limits.py
@@ -17,8 +17,8 @@
         self._updated_at = now
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Takes `amount` if it is available."""
-        self._fill(now)
+        """Takes `amount` if it is available; returns whether it was."""
+        self._refill(now)
         if self._level < amount:
             return False
         self._level -= amount
@@ -29,10 +29,10 @@
         self._level = min(self._burst, self._level + amount)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
-        self._fill(now)
+        self._refill(now)
         return max(0.0, (amount - self._level) / self._rate_per_s)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         elapsed = max(0.0, now - self._updated_at)
         self._updated_at = now
         self._level = min(self._burst, self._level + elapsed * self._rate_per_s)
@@ -41,7 +41,8 @@
 class RetryBudget:
     """Limits retries to a fraction of requests, so that retries do not overload a failing pool.
 
-    Each request adds `RETRY_BUDGET_RATIO`; `RETRY_BUDGET_MIN_PER_S` is always available.
+    Each request adds `RETRY_BUDGET_RATIO` retries to the budget, each second adds
+    `RETRY_BUDGET_MIN_PER_S`.
     """
 
     def __init__(self, now: float) -> None:
--- a/stileloom/routing/subset.py
+++ b/stileloom/routing/subset.py
@@ -1,7 +1,8 @@
 """Deterministic subsetting: a gateway routes to a bounded number of samplers of each pool.
 
 Gateways and owners compute the same subset, so an owner knows which gateways need its load
-reports. Samplers in the gateway's zone are preferred; samplers in other zones fill the rest.
+reports. Samplers in the gateway's zone are preferred; if there are too few, samplers in other
+zones are added.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
         return self._by_zone.get(zone, [])
 
     def outside_zone(self, zone: str) -> list[str]:
-        remaining = [names for other, names in self._by_zone.items() if other != zone]
-        return [name for names in remaining for name in names]
+        names_by_zone = [names for other, names in self._by_zone.items() if other != zone]
+        return [name for names in names_by_zone for name in names]
 
     def fill_subset(self, zone: str) -> bool:
         """Whether a zone alone has enough samplers to fill a subset."""
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -20,7 +20,7 @@
 from stileloom.samplers.table import SamplerTable
 
 
-def load(sampler_id: str, running: int = 0) -> LoadRow:
+def load_row(sampler_id: str, running: int = 0) -> LoadRow:
     """Returns the load report of a serving lookup sampler."""
     return LoadRow(
         sampler_id, EngineState.SERVING, SamplerRole.LOOKUP, "m", 1, running, 0, 8,
@@ -33,7 +33,7 @@
     table = SamplerTable()
     names = [f"s{number}" for number in range(samplers)]
     table.set_machines([Machine(name, "p", "a", "127.0.0.1", 1) for name in names])
-    table.on_report(0.0, SamplerReport([load(name) for name in names], []))
+    table.on_report(0.0, SamplerReport([load_row(name) for name in names], []))
     return GatewayView(
         configuration=Configuration(
             1,
@@ -70,7 +70,7 @@
 
 
 def answer(effects: list[Effect]) -> AnswerReady:
-    """Returns the only answer."""
+    """Returns the only answer; fails if there is not exactly one."""
     (found,) = [effect for effect in effects if isinstance(effect, AnswerReady)]
     return found
 
@@ -151,15 +151,17 @@
         self.assertEqual(ErrorKind.DRAINING, refused.error.kind)
 
     def test_expired_lease_rejects_or_reports_revision_age(self) -> None:
-        cut_off = view(serve_when_cut_off=False)
-        cut_off.lease_valid = False
-        refused = answer(self.gateway.submit(0.0, request(1), cut_off)).answer
+        rejecting_view = view(serve_when_cut_off=False)
+        rejecting_view.lease_valid = False
+        refused = answer(self.gateway.submit(0.0, request(1), rejecting_view)).answer
         assert refused.error is not None
         self.assertEqual(ErrorKind.NOT_READY, refused.error.kind)
-        marked = view()
-        marked.lease_valid, marked.lease_age_s = False, 5.0
-        sent = opened(self.gateway.submit(0.0, request(2), marked)).request
-        done = answer(self.gateway.stream_end(0.1, sent.request_id, StreamEnd(0, "stop"), marked))
+        serving_view = view()
+        serving_view.lease_valid, serving_view.lease_age_s = False, 5.0
+        sent = opened(self.gateway.submit(0.0, request(2), serving_view)).request
+        done = answer(
+            self.gateway.stream_end(0.1, sent.request_id, StreamEnd(0, "stop"), serving_view)
+        )
         self.assertEqual(5.0, done.answer.revision_age_s)
 
 
