--- a/stileloom/rollout/assignments.py
+++ b/stileloom/rollout/assignments.py
@@ -27,7 +27,7 @@
         self.completions = 0
         """Number of accepted samples; each frees capacity on a sampler."""
         self.interruptions = 0
-        """Number of assignments that were interrupted, rejected, lost or adopted."""
+        """Number of interrupted, rejected, lost or adopted assignments; each triggers a plan."""
         self._by_round: dict[str, dict[int, Assignment]] = {}
         self._count_by_sampler: dict[str, int] = {}
         self._partials: dict[str, dict[int, PartialGeneration]] = {}
--- a/stileloom/rollout/controller.py
+++ b/stileloom/rollout/controller.py
@@ -48,9 +48,9 @@
 """Maximum time between two plans of a round whose inputs have not changed."""
 REGISTER_RETRY_INTERVAL_S = 1.0
 SWEEP_INTERVAL_S = 0.5
-"""Interval at which closed and lost assignments are dropped."""
+"""Interval at which lost assignments and those of closed slots are dropped."""
 PLAN_BUDGET_PER_TICK = 1000
-"""Limit on the pending slots and samplers examined per tick; other rounds are deferred."""
+"""Pending slots plus samplers examined per tick; the remaining rounds wait for the next tick."""
 
 
 class Controller:
@@ -67,17 +67,17 @@
         self._scheduler = scheduler
         self._swaps = SwapPlanner(epoch, sequence)
         self._roles = SamplerRoles()
-        self._settled_at = now + constants.CONTROLLER_SETTLE_S
-        self._reported: set[str] = set()
+        self._discovery_ends_at = now + constants.CONTROLLER_SETTLE_S
+        self._reported_owners: set[str] = set()
         self._sequence = sequence
         self._backoff_until: dict[str, float] = {}
         self._next_sweep_at = float("-inf")
         self._next_round = 0
-        self._planned: dict[str, PlanRecord] = {}
+        self._plan_records: dict[str, PlanRecord] = {}
         self._versions: dict[str, int] = {}
         self._version_seen_at: dict[str, float] = {}
         self._leads: dict[str, LeadEstimate] = {}
-        self._registered_at: dict[str, float] = {}
+        self._proposed_at: dict[str, float] = {}
 
     # Tick and messages.
 
@@ -94,7 +94,7 @@
             lent = self._roles.lent_samplers(now, view)
         effects += self._swap_weights(now, view, lent)
         effects += self._plan_rounds(now, view, lent)
-        return effects + self.desk.tick(now, view.state, self._reserved(view.state))
+        return effects + self.desk.tick(now, view.state, self._protected_counts(view.state))
 
     def _plan_rounds(self, now: float, view: ControllerView, lent: dict[str, str]) -> list[Effect]:
         """Plans rounds in turn until the budget is used up; the next tick resumes there.
@@ -116,41 +116,45 @@
             if self._needs_plan(now, view, name, round_state):
                 work = self._round_work(now, view, name, round_state, lent)
                 budget -= len(work.pending) + len(work.samplers)
-                if self._is_settled(now, view) and view.admits_rollouts:
+                if self._is_discovery_over(now, view) and view.admits_rollouts:
                     effects += self._plan(now, view, name, work)
-                self._planned[name].waiting_for_capacity = self._scheduler.has_unplaced_slots(work)
+                self._plan_records[name].waiting_for_capacity = self._scheduler.has_unplaced_slots(
+                    work
+                )
         return effects
 
-    def _reserved(self, state: LedgerState) -> dict[str, int]:
-        """Returns the places reserved for running generations, by round with pending reads."""
-        reserved: dict[str, int] = {}
+    def _protected_counts(self, state: LedgerState) -> dict[str, int]:
+        """Returns, by round with pending reads, how many generations its hand-over waits for."""
+        protected_counts: dict[str, int] = {}
         for name in self.desk.waiting_rounds():
             round_state = state.rounds.get(name)
             if round_state is not None:
                 oldest_allowed = round_state.version - round_state.staleness_bound
                 versions = self.assignments.oldest_versions(name)
-                reserved[name] = self._scheduler.reserved(oldest_allowed, versions)
-        return reserved
+                protected_counts[name] = self._scheduler.protected_count(oldest_allowed, versions)
+        return protected_counts
 
     def _needs_plan(
         self, now: float, view: ControllerView, name: str, round_state: RoundState
     ) -> bool:
-        """Whether the inputs of the last plan changed or the plan is due for renewal."""
+        """Whether the inputs changed or the last plan is old; if so, records the new inputs."""
         current_inputs = PlanInputs(
             version=round_state.version,
             next_slot=round_state.next_slot,
             next_offset=round_state.next_offset,
-            wanted_until=self.desk.wanted_until(name),
+            requested_until=self.desk.requested_until(name),
             interruptions=self.assignments.interruptions,
-            samplers=view.table.changes,
+            sampler_changes=view.table.changes,
         )
-        planned = self._planned.get(name)
-        if planned is not None and planned.basis == current_inputs and now < planned.replan_at:
+        planned = self._plan_records.get(name)
+        if planned is not None and planned.inputs == current_inputs and now < planned.replan_at:
             capacity_freed = self.assignments.completions != planned.completions
             if not (planned.waiting_for_capacity and capacity_freed):
                 return False
         replan_at = now + MAX_PLAN_INTERVAL_S
-        self._planned[name] = PlanRecord(current_inputs, replan_at, self.assignments.completions)
+        self._plan_records[name] = PlanRecord(
+            current_inputs, replan_at, self.assignments.completions
+        )
         return True
 
     def handle(
@@ -158,7 +162,7 @@
     ) -> list[Effect]:
         """Handles a message from an owner."""
         if isinstance(message, RunningReport):
-            self._reported.add(sender)
+            self._reported_owners.add(sender)
             return self.assignments.apply_report(now, sender, message.running, view.state)
         if isinstance(message, GenerationFinished):
             assignment = self.assignments.record_finished(message)
@@ -172,12 +176,12 @@
             return []
         return []
 
-    def _is_settled(self, now: float, view: ControllerView) -> bool:
-        """Whether every owner has reported its running generations, or the settle time is over."""
-        if now >= self._settled_at:
+    def _is_discovery_over(self, now: float, view: ControllerView) -> bool:
+        """Whether every owner reported its running generations or the discovery period is over."""
+        if now >= self._discovery_ends_at:
             return True
         owners = {view.owner_of(sampler.sampler_id) for sampler in view.table.views()}
-        return owners <= self._reported
+        return owners <= self._reported_owners
 
     def under_way(self, round_name: str) -> int:
         """Returns the number of running generations of a round."""
@@ -197,9 +201,9 @@
                 and known.reorder_window_steps == spec.reorder_window_steps
             ):
                 continue
-            if now < self._registered_at.get(name, float("-inf")) + REGISTER_RETRY_INTERVAL_S:
+            if now < self._proposed_at.get(name, float("-inf")) + REGISTER_RETRY_INTERVAL_S:
                 continue
-            self._registered_at[name] = now
+            self._proposed_at[name] = now
             command = RegisterRound(
                 name, bound, spec.samples_per_step, spec.reorder_window_steps, spec.first_version
             )
@@ -279,8 +283,8 @@
         lead.observe_step(now, round_state.next_offset // round_state.samples_per_step)
         self.discarded_partial_tokens += self.assignments.drop_stale_partials(round_state, bound)
         assignments = self.assignments.for_round(name)
-        wanted_until = self.desk.wanted_until(name)
-        pending = self._pending(view, round_state, wanted_until)
+        requested_until = self.desk.requested_until(name)
+        pending = self._pending_slots(view, round_state, requested_until)
         return RoundWork(
             state=round_state,
             staleness_bound=bound,
@@ -288,24 +292,24 @@
             has_blocking=any(slot.blocking for slot in pending),
             assignments=assignments,
             samplers=self._capacities(now, view, name, round_state, lent),
-            wanted_until=wanted_until,
+            requested_until=requested_until,
             version_age_s=now - self._version_seen_at.get(name, now),
             lead=lead,
         )
 
-    def _pending(
-        self, view: ControllerView, round_state: RoundState, wanted_until: int
+    def _pending_slots(
+        self, view: ControllerView, round_state: RoundState, requested_until: int
     ) -> list[PendingSlot]:
-        """Returns the unassigned open slots within the staleness bound or wanted by a reader."""
+        """Returns the unassigned open slots within the staleness bound or requested by a reader."""
         name = round_state.name
         size = round_state.samples_per_step
         steps = round_state.next_offset // size + round_state.staleness_bound + 1
-        horizon = max(steps * size, wanted_until)
-        due_before = round_state.due_before(wanted_until)
+        end_slot = max(steps * size, requested_until)
+        due_before = round_state.due_before(requested_until)
         priorities: dict[tuple[str, int], int] = {}
         found: list[PendingSlot] = []
         for number in round_state.open_slots:
-            if number < horizon and not self.assignments.is_assigned(name, number):
+            if number < end_slot and not self.assignments.is_assigned(name, number):
                 pending = self._pending_slot(view, round_state, number, priorities)
                 pending.blocking = number < due_before
                 found.append(pending)
@@ -368,7 +372,7 @@
     def _is_available(self, now: float, sampler: SamplerView, spec: Round) -> bool:
         load = sampler.load
         if load is None or not sampler.usable(now):
-            # A sampler that swaps weights in flight is usable again once it serves.
+            # Samplers that are loading weights are not usable either.
             return False
         if now < self._backoff_until.get(sampler.sampler_id, float("-inf")):
             return False
@@ -431,7 +435,7 @@
                 started_at=now,
                 known_token_count=len(pending.partial.tokens),
                 first_token=len(pending.partial.tokens),
-                oldest_version=self._version_at_start(view, pending, start.sampler_id),
+                oldest_version=self._oldest_version_at_start(view, pending, start.sampler_id),
                 confirmed_at=now,
             )
         )
@@ -440,7 +444,7 @@
         )
         return [Send(owner, message)]
 
-    def _version_at_start(
+    def _oldest_version_at_start(
         self, view: ControllerView, pending: PendingSlot, sampler_id: str
     ) -> int | None:
         sampler = view.table.get(sampler_id)
@@ -460,7 +464,7 @@
         return []
 
     def _stop(self, assignment: Assignment) -> list[Effect]:
-        # If the message is lost, the next report of the owner resets the flag.
+        # If the message is lost, the owner's next report resets the flag and allows another stop.
         assignment.stopping = True
         return [Send(assignment.owner, StopGeneration(assignment.key))]
 
--- a/stileloom/rollout/delivery.py
+++ b/stileloom/rollout/delivery.py
@@ -60,7 +60,7 @@
     def waiting_rounds(self) -> list[str]:
         return sorted({read.request.round_name for read in self._reads.values()})
 
-    def wanted_until(self, round_name: str) -> int:
+    def requested_until(self, round_name: str) -> int:
         """Returns the end offset of the pending reads of a round, 0 if there are none."""
         end_offsets = [
             read.request.offset + read.request.count
@@ -69,8 +69,10 @@
         ]
         return max(end_offsets, default=0)
 
-    def tick(self, now: float, state: LedgerState, reserved: dict[str, int]) -> list[Effect]:
-        """Expires reads and proposes due hand-overs. `reserved` gives reserved places by round."""
+    def tick(
+        self, now: float, state: LedgerState, protected_counts: dict[str, int]
+    ) -> list[Effect]:
+        """Expires reads and proposes the hand-overs that `_can_hand_over` allows."""
         effects: list[Effect] = []
         for key, read in list(self._reads.items()):
             if now >= read.received_at + READ_EXPIRY_S:
@@ -81,7 +83,7 @@
             if round_state is None or name in self._proposed:
                 continue
             until = read.request.offset + read.request.count
-            if _can_hand_over(round_state, until, reserved.get(name, 0)):
+            if _can_hand_over(round_state, until, protected_counts.get(name, 0)):
                 self._proposed.add(name)
                 ticket = HandOverTicket(name)
                 effects.append(ProposeHandOver(ticket, HandOver(name, until)))
@@ -101,36 +103,36 @@
                 continue
             if not isinstance(result, DeliveryPage):
                 continue
-            wanted = [
+            requested = [
                 delivery
                 for delivery in result.deliveries
                 if request.offset <= delivery.offset < request.offset + request.count
             ]
-            if len(wanted) == request.count:
+            if len(requested) == request.count:
                 del self._reads[key]
-                page = DeliveryPage(wanted, result.current_version)
+                page = DeliveryPage(requested, result.current_version)
                 effects.append(Send(read.reader, DeliveryAnswer(request.ticket, page)))
         return effects
 
 
-def _can_hand_over(state: RoundState, until: int, reserved: int) -> bool:
+def _can_hand_over(state: RoundState, until: int, protected_count: int) -> bool:
     """Whether the samples up to `until` can be handed over.
 
-    `reserved` counts running generations that the next version would make too old; the
-    hand-over waits for them.
+    The hand-over waits for `protected_count` running generations, which the next version would
+    make too old.
     """
     missing = until - state.next_offset
     if missing <= 0:
         return True
-    oldest_allowed = state.staleness_bound
+    max_age = state.staleness_bound
     if state.open_slots and min(state.open_slots) < state.due_before(until):
         return False
     if len(state.ready) < missing:
         return False
-    fresh_enough = sum(1 for s in state.ready.values() if state.age_of(s) <= oldest_allowed)
+    fresh_enough = sum(1 for s in state.ready.values() if state.age_of(s) <= max_age)
     if fresh_enough < missing:
         return False
-    return min(reserved, missing) == 0
+    return min(protected_count, missing) == 0
 
 
 def _rejection(reader: str, request: DeliveryRequest, kind: ErrorKind) -> Effect:
--- a/stileloom/rollout/lead.py
+++ b/stileloom/rollout/lead.py
@@ -24,17 +24,17 @@
         self._step_time_s: float | None = None
         self._token_time_s: float | None = None
         self._step: int | None = None
-        self._step_began_at = 0.0
+        self._step_started_at = 0.0
 
     def observe_step(self, now: float, step: int) -> None:
         """Records which step is currently being collected."""
         if self._step is None:
-            self._step, self._step_began_at = step, now
+            self._step, self._step_started_at = step, now
             return
         if step > self._step:
-            elapsed_s = (now - self._step_began_at) / (step - self._step)
+            elapsed_s = (now - self._step_started_at) / (step - self._step)
             self._step_time_s = _smooth(self._step_time_s, elapsed_s)
-            self._step, self._step_began_at = step, now
+            self._step, self._step_started_at = step, now
 
     def observe_generation(self, duration_s: float, tokens: int) -> None:
         """Records the duration and token count of a finished generation."""
--- a/stileloom/rollout/length_estimate.py
+++ b/stileloom/rollout/length_estimate.py
@@ -23,6 +23,6 @@
     def expected(self, group: str, max_tokens: int, token_count: int) -> float:
         """Returns the expected final length of a generation that has `token_count` tokens."""
         mean = self._mean.get(group, max_tokens * DEFAULT_LENGTH_FRACTION)
-        # Length distributions are heavy-tailed: expect twice the current length beyond the mean.
+        # Lengths are heavy-tailed: a generation longer than the mean is expected to double.
         expected = mean if token_count < mean else token_count * 2.0
         return min(float(max_tokens), expected)
--- a/stileloom/rollout/roles.py
+++ b/stileloom/rollout/roles.py
@@ -1,4 +1,4 @@
-"""Assigns idle lookup samplers to rounds, and the target role and weights of each sampler."""
+"""Lends idle lookup samplers to rounds; determines the target role and weights of each sampler."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
             for sampler in view.table.in_pool(pool_name)
             if not sampler.leaving and not sampler.unreachable and sampler.load is not None
         ]
-        at_home = [sampler for sampler in samplers if sampler.sampler_id not in lent]
+        not_lent = [sampler for sampler in samplers if sampler.sampler_id not in lent]
         return PoolDemand(
             samplers=sorted(sampler.sampler_id for sampler in samplers),
             keep_home=pool.keep_home,
-            running=sum(sampler.running for sampler in at_home),
+            running=sum(sampler.running for sampler in not_lent),
             lend_below=pool.lend_below,
             return_above=pool.return_above,
         )
--- a/stileloom/rollout/scheduler.py
+++ b/stileloom/rollout/scheduler.py
@@ -26,8 +26,8 @@
 """Minimum difference in generations between two samplers before one is moved."""
 SHIFT_MIN_REMAINING_TOKENS = 64
 SHIFTS_PER_PLAN = 2
-PREFER_CURRENT_VERSION_S = 10.0
-"""Time after a new version in which fresh slots start only on samplers that hold it."""
+CURRENT_ONLY_PERIOD_S = 10.0
+"""Time after a new version during which fresh slots start only on samplers that hold it."""
 NO_TOKENS_SORT_KEY = 1 << 60
 """Sorts slots without tokens after those that have some."""
 
@@ -57,8 +57,8 @@
         """Records a finished generation; ignored by default."""
         del group, token_count
 
-    def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Returns the places of the current step reserved for running generations.
+    def protected_count(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
+        """Returns how many running generations a hand-over waits for.
 
         `oldest_versions` has the oldest version of each running generation; `oldest_allowed`
         is the oldest version that may be handed over now.
@@ -66,7 +66,7 @@
         return 0
 
     def has_unplaced_slots(self, work: RoundWork) -> bool:
-        """Whether slots wait only for capacity, so that each completion needs a new plan."""
+        """Whether slots wait for capacity, so that freed capacity requires a new plan."""
         return bool(work.pending)
 
 
@@ -82,7 +82,7 @@
     def plan_starts(self, work: RoundWork) -> list[Start]:
         """Starts as many slots as the staleness budget allows."""
         in_flight = len(work.assignments)
-        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.requested_until)
         # Samplers with old weights get no new work, so that they drain and swap.
         samplers = [sampler for sampler in work.samplers if sampler.current]
         samplers.sort(key=lambda sampler: sampler.view.sampler_id)
@@ -111,11 +111,11 @@
     LONGEST_FIRST = "longest_first"
     """Start fresh slots in descending order of expected length."""
     LATE_START = "late_start"
-    """Delay the start of a slot by its expected duration."""
+    """Start a fresh slot no earlier than its expected duration requires."""
     CURRENT_ONLY = "current_only"
-    """Start fresh slots only on samplers that hold the current version."""
+    """Start fresh slots only on samplers that hold the current version, while it is new."""
     PROTECT_EXPIRING = "protect_expiring"
-    """Hold a step for running generations that the next version would make too old."""
+    """Delay a hand-over for running generations that the next version would make too old."""
     SHIFT_TAIL = "shift_tail"
     """Move long generations from loaded samplers to idle ones."""
     IN_FLIGHT_SWAP = "in_flight_swap"
@@ -154,7 +154,7 @@
 
 
 class DefaultScheduler(Scheduler):
-    """Starts blocking and oldest slots first, as late as possible, on the least loaded sampler."""
+    """Starts slots as late as their step allows, on the least utilized sampler."""
 
     def __init__(self, disabled: frozenset[Mechanism] = frozenset()) -> None:
         self._length_estimate = LengthEstimate()
@@ -171,10 +171,10 @@
         self._length_estimate.observe(group, token_count)
 
     def plan_starts(self, work: RoundWork) -> list[Start]:
-        """Resumed slots are already counted as in flight and need no new budget."""
+        """Starts resumed slots, which need no budget, and due fresh slots within the budget."""
         resumed = [slot for slot in work.pending if slot.partial.tokens]
         in_flight = len(work.assignments) + len(resumed)
-        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.requested_until)
         fresh = self._due_slots(work) if budget or work.has_blocking else []
         ordered = sorted(resumed, key=self._start_order)
         ordered += within_budget(sorted(fresh, key=self._start_order), budget)
@@ -185,7 +185,7 @@
         self._unplaced_count = len(ordered)
         queue = _SamplerQueue(work.samplers)
         fresh_queue = queue
-        if self._enabled(Mechanism.CURRENT_ONLY) and work.version_age_s < PREFER_CURRENT_VERSION_S:
+        if self._enabled(Mechanism.CURRENT_ONLY) and work.version_age_s < CURRENT_ONLY_PERIOD_S:
             current = [sampler for sampler in work.samplers if sampler.current]
             fresh_queue = _SamplerQueue(current)
         for pending in ordered:
@@ -203,20 +203,20 @@
         if not self._enabled(Mechanism.LATE_START):
             return fresh
         size = work.state.samples_per_step
-        # Lead is counted from the last step handed over. With a staleness bound of at most 1
-        # and the current version's step still pending, it is counted from that pending step, so
-        # that the next step starts in parallel with it.
-        step = work.state.next_offset // size
+        # The lead is counted from the last step handed over. If the staleness bound is at most 1
+        # and no full step was handed over at the current version, it is counted from the step
+        # that is collected now, so that the next step is generated in parallel.
+        base_step = work.state.next_offset // size
         if work.staleness_bound > 1 or work.state.handed_over_at_version >= size:
-            step -= 1
+            base_step -= 1
         leads: dict[tuple[str, int], int] = {}
         due: list[PendingSlot] = []
         for slot in fresh:
-            group = (slot.prompt.group, slot.prompt.max_tokens)
-            if group not in leads:
-                expected = self._length_estimate.expected(*group, 0)
-                leads[group] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
-            if slot.blocking or slot.slot // size - step <= leads[group]:
+            key = (slot.prompt.group, slot.prompt.max_tokens)
+            if key not in leads:
+                expected = self._length_estimate.expected(*key, 0)
+                leads[key] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
+            if slot.blocking or slot.slot // size - base_step <= leads[key]:
                 due.append(slot)
         return due
 
@@ -246,15 +246,15 @@
             return []
         shifts: list[Shift] = []
         by_load = sorted(work.samplers, key=lambda sampler: sampler.assigned)
-        emptiest, busiest = by_load[0], by_load[-1]
+        least_loaded, most_loaded = by_load[0], by_load[-1]
         while len(shifts) < SHIFTS_PER_PLAN:
-            if busiest.assigned - emptiest.assigned < SHIFT_MIN_IMBALANCE:
+            if most_loaded.assigned - least_loaded.assigned < SHIFT_MIN_IMBALANCE:
                 break
-            assignment = self._longest_on(work, busiest.view.sampler_id, shifts)
+            assignment = self._longest_on(work, most_loaded.view.sampler_id, shifts)
             if assignment is None:
                 break
-            busiest.assigned -= 1
-            emptiest.assigned += 1
+            most_loaded.assigned -= 1
+            least_loaded.assigned += 1
             shifts.append(Shift(assignment.key))
         return shifts
 
@@ -286,8 +286,8 @@
             return None
         return max(eligible, key=lambda row: (row[0], -row[1].key.slot))[1]
 
-    def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Reserves a place for each generation that the next version would make too old."""
+    def protected_count(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
+        """Returns the number of generations that the next version would make too old."""
         if not self._enabled(Mechanism.PROTECT_EXPIRING):
             return 0
         return sum(1 for version in oldest_versions if version <= oldest_allowed)
--- a/stileloom/rollout/staleness.py
+++ b/stileloom/rollout/staleness.py
@@ -6,7 +6,7 @@
 
 
 def start_budget(
-    state: RoundState, staleness_bound: int, in_flight: int, wanted_until: int = 0
+    state: RoundState, staleness_bound: int, in_flight: int, requested_until: int = 0
 ) -> int:
     """Returns the number of generations that may start now.
 
@@ -17,10 +17,10 @@
 
     samples are in flight, ready, or handed over since v was published.
 
-    A trainer may take several steps per version. Slots up to offset `wanted_until`, which it
-    already waits for, are always started.
+    If a trainer takes several steps per version, this budget may not cover the samples that it
+    waits for. Those up to offset `requested_until` are always started.
     """
     budget = (staleness_bound + 1) * state.samples_per_step
     used = in_flight + len(state.ready) + state.handed_over_at_version
-    wanted = wanted_until - state.next_offset - len(state.ready) - in_flight
-    return max(0, budget - used, wanted)
+    requested = requested_until - state.next_offset - len(state.ready) - in_flight
+    return max(0, budget - used, requested)
--- a/stileloom/rollout/view.py
+++ b/stileloom/rollout/view.py
@@ -20,20 +20,21 @@
 
 
 class PlanInputs(msgspec.Struct, frozen=True):
-    """Inputs of the last plan of a round, compared to detect changes."""
+    """Inputs of a plan of a round, compared to detect changes."""
 
     version: int
     next_slot: int
     next_offset: int
-    wanted_until: int
+    requested_until: int
     interruptions: int
-    samplers: int
+    sampler_changes: int
+    """`SamplerTable.changes` at the time of the plan."""
 
 
 class PlanRecord(msgspec.Struct):
     """The last plan of a round."""
 
-    basis: PlanInputs
+    inputs: PlanInputs
     replan_at: float
     completions: int
     """`AssignmentTable.completions` at the time of the plan."""
--- a/stileloom/rollout/work.py
+++ b/stileloom/rollout/work.py
@@ -25,7 +25,7 @@
     known_token_count: int
     """Token count in the last report."""
     first_token: int
-    """Tokens that earlier attempts generated."""
+    """Number of tokens that earlier attempts generated."""
     oldest_version: int | None
     """Oldest weight version in its tokens, if known."""
     confirmed_at: float
@@ -73,7 +73,7 @@
     assignments: list[Assignment]
     samplers: list[SamplerCapacity]
     has_blocking: bool = False
-    wanted_until: int = 0
+    requested_until: int = 0
     """End offset of the trainer's pending reads."""
     version_age_s: float = 0.0
     """Seconds since the controller first saw the current version."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -298,7 +298,7 @@
         "what a trainer waits for is not started beyond the budget",
         "rounds go on",
         "stileloom/rollout/staleness.py",
-        "return max(0, budget - used, wanted)",
+        "return max(0, budget - used, requested)",
         "return max(0, budget - used)",
         f"{PROMISES}::PromiseTest::test_a_trainer_that_publishes_rarely_is_not_starved",
     ),
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -40,7 +40,7 @@
         self.assertEqual(5, start_budget(state, 2, 25))
         state.handed_over_at_version = 10
         self.assertEqual(0, start_budget(state, 2, 25))
-        self.assertEqual(7, start_budget(state, 2, 25, wanted_until=32))
+        self.assertEqual(7, start_budget(state, 2, 25, requested_until=32))
 
     def test_lead_grows_with_length(self) -> None:
         lead = LeadEstimate()
