--- a/stileloom/policy/__init__.py
+++ b/stileloom/policy/__init__.py
@@ -1,6 +1,6 @@
 """Policies: operator-defined CEL rules for priority, freshness and placement."""
 
-from stileloom.policy.book import PolicyBook, RuleOutcome, check_policy
+from stileloom.policy.book import PolicyBook, RuleResult, check_policy
 from stileloom.policy.compiler import CompiledRule, RuleKind, compile_rule
 from stileloom.policy.inputs import PoolInput, RequestInput, RoundInput, RuleInputs, TimeInput
 
@@ -12,7 +12,7 @@
     "RoundInput",
     "RuleInputs",
     "RuleKind",
-    "RuleOutcome",
+    "RuleResult",
     "TimeInput",
     "check_policy",
     "compile_rule",
--- a/stileloom/policy/book.py
+++ b/stileloom/policy/book.py
@@ -20,7 +20,7 @@
 MAX_PRIORITY = 100
 
 
-class RuleOutcome(msgspec.Struct, frozen=True):
+class RuleResult(msgspec.Struct, frozen=True):
     """The value of one rule of one policy, as shown by `explain`."""
 
     policy: str
@@ -83,25 +83,28 @@
 
     def priority(self, inputs: RuleInputs, wall_time_s: float) -> int:
         """Returns the priority of a request, by default its own."""
-        for outcome in self.outcomes(RuleKind.PRIORITY, inputs, wall_time_s):
-            return max(MIN_PRIORITY, min(MAX_PRIORITY, int(outcome.value)))
+        for result in self.rule_results(RuleKind.PRIORITY, inputs, wall_time_s):
+            return max(MIN_PRIORITY, min(MAX_PRIORITY, int(result.value)))
         return inputs.request.priority
 
     def staleness_bound(self, inputs: RuleInputs, wall_time_s: float) -> int:
         """Returns the staleness bound in versions; policies can only lower that of the round."""
         values = [
-            int(outcome.value) for outcome in self.outcomes(RuleKind.FRESHNESS, inputs, wall_time_s)
+            int(result.value)
+            for result in self.rule_results(RuleKind.FRESHNESS, inputs, wall_time_s)
         ]
         return max(0, min([inputs.round.staleness_bound, *values]))
 
     def may_place(self, inputs: RuleInputs, wall_time_s: float) -> bool:
         """Whether all policies allow the placement on the pool."""
-        outcomes = self.outcomes(RuleKind.PLACEMENT, inputs, wall_time_s)
-        return all(bool(outcome.value) for outcome in outcomes)
+        rule_results = self.rule_results(RuleKind.PLACEMENT, inputs, wall_time_s)
+        return all(bool(result.value) for result in rule_results)
 
-    def outcomes(self, kind: RuleKind, inputs: RuleInputs, wall_time_s: float) -> list[RuleOutcome]:
+    def rule_results(
+        self, kind: RuleKind, inputs: RuleInputs, wall_time_s: float
+    ) -> list[RuleResult]:
         """Returns the value of each applicable rule by rank, with `FALLBACK_VALUES` on failure."""
-        rule_outcomes: list[RuleOutcome] = []
+        rule_results: list[RuleResult] = []
         for compiled in self._policies:
             applies_to = compiled.policy.applies_to
             rule = compiled.rules.get(kind)
@@ -117,8 +120,8 @@
                 self._record_failure(compiled.name, kind, error.detail)
                 value = FALLBACK_VALUES[kind]
             if value is not None:
-                rule_outcomes.append(RuleOutcome(compiled.name, kind.value, value))
-        return rule_outcomes
+                rule_results.append(RuleResult(compiled.name, kind.value, value))
+        return rule_results
 
     def take_failures(self) -> list[RuleFailure]:
         """Returns and clears the rule failures since the last call."""
--- a/stileloom/policy/compiler.py
+++ b/stileloom/policy/compiler.py
@@ -1,8 +1,9 @@
 """Compiles and validates rules; errors give the line, the column and the expected input.
 
 Rules are written in CEL (Common Expression Language), so they terminate and have no side
-effects. Size and the number of comprehensions are limited, names are checked against the
-available inputs, and the result type is checked by evaluating the rule on default inputs.
+effects. The length of a rule and its number of comprehensions are limited, names are checked
+against the available inputs, and the result type is checked by evaluating the rule on default
+inputs.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
 COMPREHENSIONS = ("all", "exists", "exists_one", "filter", "map")
 
 _POSITION = re.compile(r"<input>:(\d+):(\d+): (.*)")
+"""Matches the position and the text of a syntax error of the CEL parser."""
 _COMPREHENSION = re.compile(
     r"\.\s*(" + "|".join(COMPREHENSIONS) + r")\s*\((?:\s*([A-Za-z_]\w*)\s*,)?"
 )
@@ -79,13 +81,14 @@
         program = cel.compile(source)
     except ValueError as error:
         raise _syntax_error(kind, str(error)) from error
-    _check_names(kind, source, program)
+    _check_limits_and_names(kind, source, program)
     rule = CompiledRule(kind, source, program)
     rule.evaluate(RuleInputs())
     return rule
 
 
-def _check_names(kind: RuleKind, source: str, program: cel.Program) -> None:
+def _check_limits_and_names(kind: RuleKind, source: str, program: cel.Program) -> None:
+    """Checks the number of comprehensions and that all names and fields are available inputs."""
     source_without_strings = _STRING.sub(lambda match: " " * len(match.group()), source)
     comprehensions = list(_COMPREHENSION.finditer(source_without_strings))
     if len(comprehensions) > MAX_COMPREHENSIONS:
--- a/stileloom/policy/inputs.py
+++ b/stileloom/policy/inputs.py
@@ -31,7 +31,7 @@
 
 
 class PoolInput(msgspec.Struct, frozen=True):
-    """`pool`: the candidate pool and zone for the request."""
+    """`pool`: the pool and the zone of a candidate sampler."""
 
     name: str = ""
     zone: str = ""
--- a/stileloom/routing/explain.py
+++ b/stileloom/routing/explain.py
@@ -38,16 +38,16 @@
         for candidate in candidate_views
         if candidate.eligible
     ]
-    outcomes = [
-        outcome
+    rule_results = [
+        result
         for kind in (RuleKind.PRIORITY, RuleKind.PLACEMENT)
-        for outcome in policies.outcomes(kind, inputs, wall_time_s)
+        for result in policies.rule_results(kind, inputs, wall_time_s)
     ]
     return Explanation(
         service=request.service,
         pool=pool,
         priority=policies.priority(inputs, wall_time_s),
         chosen=choose_sampler(candidates, zone, request.prefix_key, random.Random(0)),
-        rules=[f"{outcome.policy}: {outcome.rule} = {outcome.value}" for outcome in outcomes],
+        rules=[f"{result.policy}: {result.rule} = {result.value}" for result in rule_results],
         candidates=candidate_views,
     )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -23,6 +23,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 NOON_UTC_S = 1_700_049_600.0 + 12 * 3600 - 1_700_049_600.0 % 86_400
+"""15 November 2023, 12:00 UTC."""
 
 
 class FailingRuleTest(testtools.TestCase):
@@ -105,7 +106,7 @@
 
 
 class CombinationTest(testtools.TestCase):
-    """Rules of several policies combine."""
+    """How the rules of several policies combine."""
 
     def test_priority_is_ordered_by_rank_then_name(self) -> None:
         book = PolicyBook(
@@ -116,8 +117,8 @@
             }
         )
         self.assertEqual(30, book.priority(RuleInputs(), 0.0))
-        capped = RuleInputs(request=RequestInput(tenant="x"))
-        self.assertEqual(100, book.priority(capped, 0.0))
+        tenant_x = RuleInputs(request=RequestInput(tenant="x"))
+        self.assertEqual(100, book.priority(tenant_x, 0.0))
 
     def test_freshness_only_lowers_the_bound(self) -> None:
         book = PolicyBook({"loose": Policy(freshness="9"), "tight": Policy(freshness="1")})
@@ -134,8 +135,8 @@
             }
         )
         self.assertFalse(book.may_place(RuleInputs(pool=PoolInput("p", "c")), 0.0))
-        charts = RequestInput(target="charts")
-        self.assertFalse(book.may_place(RuleInputs(charts, pool=PoolInput("q", "a")), 0.0))
+        charts_request = RequestInput(target="charts")
+        self.assertFalse(book.may_place(RuleInputs(charts_request, pool=PoolInput("q", "a")), 0.0))
         self.assertTrue(book.may_place(RuleInputs(pool=PoolInput("q", "a")), 0.0))
 
     def test_rules_use_the_time_zone_of_their_policy(self) -> None:
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -131,7 +131,7 @@
         self.assert_guarantees_held(cluster)
 
     def test_non_repeatable_runs_at_most_once(self) -> None:
-        """The same key is sent to two gateways; gateways are killed and engines crash mid-run."""
+        """Some keys are sent to two gateways; gateways are killed and engines crash."""
         cluster = start_cluster(seed=16, lookups_per_s=15.0)
         cluster.unsettle_network(loss=0.05, duplication=0.2, late=0.2)
         for name in ("a-2", "b-2", "c-2"):
@@ -154,7 +154,7 @@
         cluster.run_for(cluster.plan.machine_lag_s)
         for sampler in ("lookups-1", "rollouts-1"):
             cluster.oracle.sampler_leaving(cluster.world.now, sampler)
-        # A sampler that left must not be used again if the list reports it live.
+        # Once marked as leaving, a sampler must not be used even if the list reports it live.
         cluster.platform.set_machine_state("lookups-1", MachineState.LIVE)
         cluster.run_for(10)
         self.assert_guarantees_held(cluster)
@@ -197,11 +197,11 @@
             cluster.run_for(4)
             cluster.restart(f"{ZONES[(limit + 1) % 3]}-2")
         self.assert_guarantees_held(cluster)
-        stored = cluster.platform.objects.revision
+        stored_revision = cluster.platform.objects.revision
         node_revisions = {cluster.machine(node).core.revision for node in cluster.nodes}  # type: ignore[union-attr]
-        self.assertEqual({stored}, node_revisions)
-        in_force = cluster.events(LogEvent.REVISION_IN_FORCE)[-1]
-        self.assertEqual(stored, in_force[2]["revision"])
+        self.assertEqual({stored_revision}, node_revisions)
+        last_event = cluster.events(LogEvent.REVISION_IN_FORCE)[-1]
+        self.assertEqual(stored_revision, last_event[2]["revision"])
 
     def test_configuration_is_in_force_within_seconds(self) -> None:
         """Without faults, every zone confirms a revision within 4 s."""
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -70,7 +70,7 @@
 class LendingTest(testtools.TestCase):
     """Samplers are lent when idle and returned on demand."""
 
-    def lend_all(self) -> RoleShifter:
+    def shifter_after_idle_time(self) -> RoleShifter:
         """Returns a shifter after two minutes without load."""
         shifter = RoleShifter()
         for now in range(120):
@@ -78,16 +78,16 @@
         return shifter
 
     def test_idle_samplers_are_lent_except_those_kept(self) -> None:
-        self.assertEqual(2, len(self.lend_all().lent))
+        self.assertEqual(2, len(self.shifter_after_idle_time().lent))
 
     def test_demand_returns_lent_samplers(self) -> None:
-        shifter = self.lend_all()
+        shifter = self.shifter_after_idle_time()
         for now in range(120, 140):
             shifter.update(float(now), demand(12))
         self.assertEqual([], shifter.lent)
 
     def test_no_change_between_the_thresholds(self) -> None:
-        shifter = self.lend_all()
+        shifter = self.shifter_after_idle_time()
         for now in range(120, 300):
             self.assertEqual(2, len(shifter.update(float(now), demand(1))))
 
@@ -98,7 +98,7 @@
     target = SwapTarget(SamplerRole.ROLLOUT, "m", 2)
 
     def plan(self, views: list[SamplerView], style: SwapStyle) -> dict[str, str]:
-        """Returns the source of each sampler that is to load."""
+        """Returns the weight source of each sampler to load; empty means the object store."""
         planner = SwapPlanner(1, itertools.count(1))
         targets = {view.sampler_id: self.target for view in views}
         return {name: order.source for name, order in planner.plan(0.0, views, targets, style)}
