--- a/stileloom/rollout/controller.py
+++ b/stileloom/rollout/controller.py
@@ -25,10 +25,10 @@
 from stileloom.rollout.view import ControllerView, PlanInputs, PlanRecord, Propose
 from stileloom.rollout.work import (
     Assignment,
+    Migration,
     PendingSlot,
     RoundWork,
     SamplerCapacity,
-    Shift,
     Start,
 )
 from stileloom.samplers.messages import (
@@ -54,7 +54,7 @@
 
 
 class Controller:
-    """Plans generations, weight swaps and role shifts of all rounds for one epoch."""
+    """Plans generations, weight swaps and role changes of all rounds for one epoch."""
 
     def __init__(
         self, epoch: int, scheduler: Scheduler, now: float, sequence: Iterator[int]
@@ -90,7 +90,7 @@
             effects += self.assignments.drop_lost(now, view.is_working)
             effects += self._register_rounds(now, view)
         lent: dict[str, str] = {}
-        if self._scheduler.shifts_roles:
+        if self._scheduler.lends_samplers:
             lent = self._roles.lent_samplers(now, view)
         effects += self._swap_weights(now, view, lent)
         effects += self._plan_rounds(now, view, lent)
@@ -400,8 +400,8 @@
         spec = view.configuration.rounds[name]
         for start in self._scheduler.plan_starts(work):
             effects += self._start(now, view, name, spec, start)
-        for shift in self._scheduler.plan_shifts(work, now):
-            effects += self._shift(shift)
+        for migration in self._scheduler.plan_migrations(work, now):
+            effects += self._migrate(migration)
         return effects + self._stop_on_leaving_samplers(view, work)
 
     def _stop_on_leaving_samplers(self, view: ControllerView, work: RoundWork) -> list[Effect]:
@@ -425,7 +425,7 @@
         if owner is None:
             return []
         pending = start.pending
-        key = GenerationKey(name, pending.slot, f"{self.epoch}.{next(self._sequence)}")
+        key = GenerationKey(name, pending.number, f"{self.epoch}.{next(self._sequence)}")
         self.assignments.add(
             Assignment(
                 key=key,
@@ -452,12 +452,12 @@
         oldest = pending.oldest_version
         return oldest if oldest is not None else version
 
-    def _shift(self, shift: Shift) -> list[Effect]:
-        for assignment in self.assignments.for_round(shift.key.round_name):
-            if assignment.key == shift.key:
+    def _migrate(self, migration: Migration) -> list[Effect]:
+        for assignment in self.assignments.for_round(migration.key.round_name):
+            if assignment.key == migration.key:
                 fields: dict[str, object] = {
-                    "round": shift.key.round_name,
-                    "slot": shift.key.slot,
+                    "round": migration.key.round_name,
+                    "slot": migration.key.slot,
                     "from": assignment.sampler_id,
                 }
                 return [Emit(LogEvent.GENERATION_SHIFTED, fields), *self._stop(assignment)]
--- a/stileloom/rollout/scheduler.py
+++ b/stileloom/rollout/scheduler.py
@@ -14,18 +14,18 @@
 from stileloom.rollout.staleness import start_budget
 from stileloom.rollout.work import (
     Assignment,
+    Migration,
     PendingSlot,
     RoundWork,
     SamplerCapacity,
-    Shift,
     Start,
 )
 from stileloom.weights.swap import SwapStyle
 
-SHIFT_MIN_IMBALANCE = 4
+MIGRATION_MIN_IMBALANCE = 4
 """Minimum difference in generations between two samplers before one is moved."""
-SHIFT_MIN_REMAINING_TOKENS = 64
-SHIFTS_PER_PLAN = 2
+MIGRATION_MIN_REMAINING_TOKENS = 64
+MIGRATIONS_PER_PLAN = 2
 CURRENT_ONLY_PERIOD_S = 10.0
 """Time after a new version during which fresh slots start only on samplers that hold it."""
 NO_TOKENS_SORT_KEY = 1 << 60
@@ -43,13 +43,13 @@
     """Plans one round at a time; does not track running generations."""
 
     swap_style: SwapStyle
-    shifts_roles: bool
+    lends_samplers: bool
 
     @abc.abstractmethod
     def plan_starts(self, work: RoundWork) -> list[Start]:
         """Returns the slots to start now."""
 
-    def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
+    def plan_migrations(self, work: RoundWork, now: float) -> list[Migration]:
         """Returns the generations to stop now, to be resumed on another sampler."""
         return []
 
@@ -74,7 +74,7 @@
     """Assigns slots in order of arrival, round robin over the samplers."""
 
     swap_style = SwapStyle.DRAIN
-    shifts_roles = False
+    lends_samplers = False
 
     def __init__(self) -> None:
         self._next_index = 0
@@ -87,7 +87,7 @@
         samplers = [sampler for sampler in work.samplers if sampler.current]
         samplers.sort(key=lambda sampler: sampler.view.sampler_id)
         starts: list[Start] = []
-        ordered = sorted(work.pending, key=lambda slot: slot.slot)
+        ordered = sorted(work.pending, key=lambda slot: slot.number)
         for pending in within_budget(ordered, budget):
             sampler = self._next(samplers)
             if sampler is None:
@@ -162,7 +162,7 @@
         self._unplaced_count = 0
         swaps_in_flight = self._enabled(Mechanism.IN_FLIGHT_SWAP)
         self.swap_style = SwapStyle.IN_FLIGHT if swaps_in_flight else SwapStyle.DRAIN
-        self.shifts_roles = self._enabled(Mechanism.LEND_SAMPLERS)
+        self.lends_samplers = self._enabled(Mechanism.LEND_SAMPLERS)
 
     def _enabled(self, mechanism: Mechanism) -> bool:
         return mechanism not in self._disabled
@@ -216,7 +216,7 @@
             if key not in leads:
                 expected = self._length_estimate.expected(*key, 0)
                 leads[key] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
-            if slot.blocking or slot.slot // size - base_step <= leads[key]:
+            if slot.blocking or slot.number // size - base_step <= leads[key]:
                 due.append(slot)
         return due
 
@@ -235,33 +235,33 @@
             -pending.priority,
             oldest if oldest is not None else NO_TOKENS_SORT_KEY,
             -expected if self._enabled(Mechanism.LONGEST_FIRST) else 0.0,
-            pending.slot,
+            pending.number,
         )
 
-    def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
+    def plan_migrations(self, work: RoundWork, now: float) -> list[Migration]:
         """Balances load while no slot is due, as engines decode faster with smaller batches."""
         if not self._enabled(Mechanism.SHIFT_TAIL) or len(work.samplers) < 2:
             return []
         if any(slot.partial.tokens for slot in work.pending) or self._due_slots(work):
             return []
-        shifts: list[Shift] = []
+        migrations: list[Migration] = []
         by_load = sorted(work.samplers, key=lambda sampler: sampler.assigned)
         least_loaded, most_loaded = by_load[0], by_load[-1]
-        while len(shifts) < SHIFTS_PER_PLAN:
-            if most_loaded.assigned - least_loaded.assigned < SHIFT_MIN_IMBALANCE:
+        while len(migrations) < MIGRATIONS_PER_PLAN:
+            if most_loaded.assigned - least_loaded.assigned < MIGRATION_MIN_IMBALANCE:
                 break
-            assignment = self._longest_on(work, most_loaded.view.sampler_id, shifts)
+            assignment = self._longest_on(work, most_loaded.view.sampler_id, migrations)
             if assignment is None:
                 break
             most_loaded.assigned -= 1
             least_loaded.assigned += 1
-            shifts.append(Shift(assignment.key))
-        return shifts
+            migrations.append(Migration(assignment.key))
+        return migrations
 
     def _longest_on(
-        self, work: RoundWork, sampler_id: str, planned: list[Shift]
+        self, work: RoundWork, sampler_id: str, planned: list[Migration]
     ) -> Assignment | None:
-        keys = {shift.key for shift in planned}
+        keys = {migration.key for migration in planned}
         candidates = [
             assignment
             for assignment in work.assignments
@@ -281,7 +281,7 @@
             )
             for assignment in candidates
         ]
-        eligible = [row for row in remaining if row[0] >= SHIFT_MIN_REMAINING_TOKENS]
+        eligible = [row for row in remaining if row[0] >= MIGRATION_MIN_REMAINING_TOKENS]
         if not eligible:
             return None
         return max(eligible, key=lambda row: (row[0], -row[1].key.slot))[1]
--- a/stileloom/rollout/work.py
+++ b/stileloom/rollout/work.py
@@ -36,7 +36,7 @@
 class PendingSlot(msgspec.Struct):
     """An open slot without an assignment."""
 
-    slot: int
+    number: int
     prompt: Prompt
     priority: int
     partial: PartialGeneration
@@ -88,7 +88,7 @@
     sampler_id: str
 
 
-class Shift(msgspec.Struct, frozen=True):
-    """Planned move: stops an assignment, to be resumed where there is capacity."""
+class Migration(msgspec.Struct, frozen=True):
+    """Planned move of a generation: it is stopped, then resumed on a sampler with capacity."""
 
     key: GenerationKey
