--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -131,7 +131,7 @@
         self.assert_guarantees_held(cluster)
 
     def test_non_repeatable_runs_at_most_once(self) -> None:
-        """Some keys are sent to two gateways; gateways are killed and engines crash."""
+        """Some idempotency keys are sent to two gateways; gateways are killed and engines crash."""
         cluster = start_cluster(seed=16, lookups_per_s=15.0)
         cluster.unsettle_network(loss=0.05, duplication=0.2, late=0.2)
         for name in ("a-2", "b-2", "c-2"):
