--- a/stileloom/cli/quarantine.py
+++ b/stileloom/cli/quarantine.py
@@ -8,7 +8,7 @@
 import typer
 
 from stileloom.cli.errors import exit_on_error
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.jobs.client import JobClient, LedgerNodes
 from stileloom.jobs.messages import JobReply
@@ -78,8 +78,10 @@
         return "no crashes are recorded for any request"
     rows = []
     for summary in listing.suspects:
-        state = f"refused, one run in {summary.trial_in_s:.0f} s" if summary.held else "watched"
-        rows.append(f"{summary.identity}  {state}  ended: {', '.join(summary.ends)}")
+        state = (
+            f"refused, one run in {summary.trial_in_s:.0f} s" if summary.quarantined else "watched"
+        )
+        rows.append(f"{summary.identity}  {state}  ended: {', '.join(summary.crashes)}")
     return "\n".join(rows)
 
 
@@ -94,4 +96,4 @@
         finally:
             client.close()
 
-    return run_program(run())
+    return run_main(run())
--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -23,7 +23,7 @@
 from stileloom.jobs.client import JobClient, LedgerNodes
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.proxy.front import Front
+from stileloom.proxy.front import GatewayServer
 from stileloom.proxy.metrics import ProxyMetrics
 from stileloom.proxy.sampler_access import SamplerAccess
 from stileloom.proxy.stream_relay import StreamRelay
@@ -39,7 +39,7 @@
 DRAIN_NOTICE_S = 2.5
 """How long a draining gateway accepts requests, so that load balancers can redirect callers."""
 LOOKUP_INTERVAL_S = 1.0
-SUSPECTS_PATIENCE_S = 1.0
+QUARANTINE_LIST_TIMEOUT_S = 1.0
 """How long readiness waits for the list of quarantined requests. Lookups must be served even
 without a leader, so the gateway then becomes ready without the list."""
 MAX_HEADER_BYTES = 65_536
@@ -94,7 +94,7 @@
         self._forwarder = Forwarder(access, switches.hedging)
         self._relay = StreamRelay(access)
         self.directory.on_sampler_unlisted = self._on_sampler_unlisted
-        self.front = Front(
+        self.front = GatewayServer(
             dialect,
             self.directory.routes,
             self._forwarder,
@@ -153,7 +153,7 @@
 
     def _quarantine_known(self) -> bool:
         """Whether the list of quarantined requests is known or waiting for it has timed out."""
-        timed_out = steady_time() > self._created_at + SUSPECTS_PATIENCE_S
+        timed_out = steady_time() > self._created_at + QUARANTINE_LIST_TIMEOUT_S
         return timed_out or self._guard.view.revision >= 0
 
     def stop(self) -> None:
@@ -185,8 +185,8 @@
         self._log.emit(LogEvent.DRAIN_FINISHED, {"open": self.front.open_requests})
 
     def _on_sampler_unlisted(self, sampler_id: str) -> None:
-        self._forwarder.forget(sampler_id)
-        self._relay.forget(sampler_id)
+        self._forwarder.close_connections(sampler_id)
+        self._relay.close_connections(sampler_id)
 
     # Ledger nodes.
 
@@ -203,7 +203,7 @@
             page = await self._cached.list_objects(self._dialect.kinds.ledger_nodes)
         except StileloomError:
             return
-        self._nodes.learn(list(ledger_node_addresses(page.records).values()))
+        self._nodes.update_addresses(list(ledger_node_addresses(page.records).values()))
 
 
 async def serve_gateway(settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -15,11 +15,11 @@
 from stileloom.errors import StileloomError
 from stileloom.events import LogEvent
 from stileloom.jobs.metrics import JobMetrics
-from stileloom.jobs.runner import JobRunner, LeaderParts
+from stileloom.jobs.runner import JobRunner, RunnerDependencies
 from stileloom.ledger.commands import RetireNode
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.quarantine.authority import QuarantineAuthority
+from stileloom.quarantine.authority import QuarantineService
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.service_settings import ServiceSettings
 
@@ -42,7 +42,7 @@
         directory: Directory,
         forwarder: Forwarder,
         guard: QuarantineGuard,
-        quarantine: QuarantineAuthority,
+        quarantine: QuarantineService,
         log: EventLog,
         metrics: JobMetrics,
         rng: random.Random,
@@ -50,11 +50,11 @@
     ) -> None:
         self.epoch = driver.replica.epoch
         self.runner = JobRunner(
-            LeaderParts(
+            RunnerDependencies(
                 node_id=settings.node_id,
                 epoch=self.epoch,
-                orders_from=earliest_order_at,
-                book=driver.state.job_book,
+                earliest_order_at=earliest_order_at,
+                registry=driver.state.job_book,
                 ledger=driver,
                 routes=directory.routes,
                 samplers=directory.samplers,
@@ -70,12 +70,12 @@
         self._store = store
         self._dialect = dialect
         self._driver = driver
-        self._quarantine_authority = quarantine
+        self._quarantine_service = quarantine
         self._log = log
         self._removals: dict[str, bool] = {}
         """Whether the removal of a node has been reported as finished, by node id."""
         for tracked in directory.samplers.all():
-            self.runner.sampler_seen(tracked.entry.sampler_id, tracked.entry.model_versions)
+            self.runner.on_sampler_listed(tracked.entry.sampler_id, tracked.entry.model_versions)
         kinds = dialect.kinds
         versions = ObjectWatcher(
             store,
@@ -109,7 +109,7 @@
     def _versions_listed(self, records: list[ObjectRecord]) -> None:
         for record in records:
             self._handle_version(record)
-        self.runner.versions_listed()
+        self.runner.on_versions_listed()
 
     def _version_changed(self, event: ObjectEvent) -> None:
         if not event.gone:
@@ -122,21 +122,21 @@
             fields: dict[str, object] = {"name": record.name, "detail": error.detail}
             self._log.emit(LogEvent.OBJECT_NOT_UNDERSTOOD, {"what": "version", **fields})
             return
-        self.runner.version_named(decoded.model, decoded.version)
+        self.runner.on_version_announced(decoded.model, decoded.version)
 
     # Expiry.
 
     async def _run_expiry(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            for command in self.runner.expired(self._retention_s):
+            for command in self.runner.retention_commands(self._retention_s):
                 try:
                     await self._driver.propose(command)
                 except StileloomError:
                     break
             with contextlib.suppress(StileloomError):
                 # Leadership was lost: the next leader repeats the expiry.
-                await self._quarantine_authority.forget_expired()
+                await self._quarantine_service.remove_expired()
 
     # Node removals.
 
@@ -185,4 +185,4 @@
         """Whether a committed change has removed the node from the voter set."""
         in_state = {voter.node_id for voter in self._driver.state.voters}
         in_log = {voter.node_id for voter in self._driver.replica.voters}
-        return node_id not in in_state | in_log and self._driver.may_act()
+        return node_id not in in_state | in_log and self._driver.is_active_leader()
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -35,8 +35,8 @@
 from stileloom.proxy.forwarder import Forwarder
 from stileloom.proxy.metrics import AttemptMetrics
 from stileloom.proxy.sampler_access import SamplerAccess
-from stileloom.quarantine.authority import QuarantineAuthority
-from stileloom.quarantine.book import QuarantineBook
+from stileloom.quarantine.authority import QuarantineService
+from stileloom.quarantine.book import QuarantineRegistry
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.quarantine.metrics import QuarantineMetrics
 from stileloom.service_settings import ServiceSettings
@@ -78,9 +78,9 @@
             reader, dialect, settings.bounds, self._log, self._rng, process_metrics
         )
         attempt_metrics = AttemptMetrics(self._registry)
-        self._quarantine_authority = QuarantineAuthority(self, self._log)
+        self._quarantine_service = QuarantineService(self, self._log)
         self._guard = QuarantineGuard(
-            self._quarantine_authority,
+            self._quarantine_service,
             self._log,
             QuarantineMetrics(self._registry),
             attempt_metrics.connection_opened,
@@ -147,7 +147,7 @@
         )
         self._driver = driver
         self._service = JobService(
-            _CallAddressLedger(driver, settings.calls_port), self._quarantine_authority, self._log
+            _CallAddressLedger(driver, settings.calls_port), self._quarantine_service, self._log
         )
         self._calls = CallServer(self._handle_call, compress)
         await self._calls.start(settings.listen_host, settings.calls_port)
@@ -214,8 +214,8 @@
     def _step(self) -> None:
         assert self._driver is not None
         self._cache.evict_idle()
-        self._order_windows.learned(self._driver.state.order_windows, steady_time())
-        leads = self._driver.may_act()
+        self._order_windows.observe(self._driver.state.order_windows, steady_time())
+        leads = self._driver.is_active_leader()
         if self._leadership is not None:
             current = self._leadership.epoch == self._driver.replica.epoch
             if not leads or not current:
@@ -227,24 +227,24 @@
             self._reported_voters = list(voters)
             names = [voter.node_id for voter in voters]
             self._log.emit(LogEvent.VOTERS_CHANGED, {"voters": names})
-        self._quarantine_authority.step()
+        self._quarantine_service.step()
         if self._leadership is not None:
             self._update_guard()
             self._leadership.runner.step()
 
     def _update_guard(self) -> None:
         """Updates the local guard from the replica's quarantine list."""
-        book = self.quarantine()
-        if book.revision != self._guard.view.revision:
-            self._guard.learn(book.listing(time.time()))
+        registry = self.quarantine()
+        if registry.revision != self._guard.view.revision:
+            self._guard.apply_listing(registry.listing(time.time()))
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this node's replica leads and holds its lease now."""
-        return self._driver is not None and self._driver.may_act()
+        return self._driver is not None and self._driver.is_active_leader()
 
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineRegistry:
         """Returns the requests associated with sampler crashes, as applied by this replica."""
-        return self._driver.state.quarantine if self._driver is not None else QuarantineBook()
+        return self._driver.state.quarantine if self._driver is not None else QuarantineRegistry()
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command."""
@@ -261,7 +261,7 @@
             self._directory,
             self._forwarder,
             self._guard,
-            self._quarantine_authority,
+            self._quarantine_service,
             self._log,
             self._metrics,
             self._rng,
@@ -275,7 +275,7 @@
         if not self._settings.switches.order_windows:
             return steady_time() + lease_s
         node_id = self._settings.node_id
-        return self._order_windows.orders_from(state.last_order_holder, node_id, lease_s)
+        return self._order_windows.earliest_order_at(state.last_order_holder, node_id, lease_s)
 
     def _stop_leading(self, reason: str) -> None:
         if self._leadership is None:
@@ -288,12 +288,12 @@
 
     def _on_sampler_listed(self, entry: SamplerEntry) -> None:
         if self._leadership is not None:
-            self._leadership.runner.sampler_seen(entry.sampler_id, entry.model_versions)
+            self._leadership.runner.on_sampler_listed(entry.sampler_id, entry.model_versions)
 
     def _on_sampler_unlisted(self, sampler_id: str) -> None:
-        self._forwarder.forget(sampler_id)
+        self._forwarder.close_connections(sampler_id)
         if self._leadership is not None:
-            self._leadership.runner.sampler_gone(sampler_id)
+            self._leadership.runner.on_sampler_removed(sampler_id)
 
 
 class _CallAddressLedger:
@@ -308,9 +308,9 @@
         """The replicated state."""
         return self._driver.state
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica leads."""
-        return self._driver.may_act()
+        return self._driver.is_active_leader()
 
     def leader_address(self) -> tuple[str, int] | None:
         """Returns the call address of the last known leader."""
--- a/stileloom/http1/pool.py
+++ b/stileloom/http1/pool.py
@@ -32,7 +32,7 @@
         else:
             connection.close()
 
-    def forget(self, sampler_id: str) -> None:
+    def close_connections(self, sampler_id: str) -> None:
         """Closes the idle connections of a sampler that was removed."""
         for connection in self._idle.pop(sampler_id, []):
             connection.close()
--- a/stileloom/samplers/owner.py
+++ b/stileloom/samplers/owner.py
@@ -36,7 +36,7 @@
 RUNNING_REPORT_S = 2.0
 
 
-class CommitWanted(msgspec.Struct, frozen=True):
+class CommitSampleRequest(msgspec.Struct, frozen=True):
     """Requests a ledger commit; answered by `committed(key, result)`."""
 
     key: GenerationKey
@@ -57,7 +57,7 @@
     return f"{key.round_name}/{key.slot}/{key.attempt}"
 
 
-def _commit_request(generation: _Generation) -> CommitWanted:
+def _commit_request(generation: _Generation) -> CommitSampleRequest:
     """The commit request for a finished generation."""
     key = generation.order.key
     sample = Sample(
@@ -67,7 +67,7 @@
         generation.tokens,
         generation.segments,
     )
-    return CommitWanted(key, CommitSample(key.round_name, sample))
+    return CommitSampleRequest(key, CommitSample(key.round_name, sample))
 
 
 class _OwnedSampler(msgspec.Struct):
@@ -102,11 +102,11 @@
         """Number of generations in progress."""
         return len(self._generations)
 
-    def report_soon(self) -> None:
+    def schedule_report(self) -> None:
         """Reports to gateways at the next tick, since the set of gateways changed."""
         self._next_gateway_report_at = float("-inf")
 
-    def set_owned(self, now: float, sampler_ids: set[str]) -> None:
+    def set_owned_samplers(self, now: float, sampler_ids: set[str]) -> None:
         """Applies the assignment of samplers; generations in progress are completed regardless."""
         for sampler_id in sampler_ids - self._owned.keys():
             self._owned[sampler_id] = _OwnedSampler(owned_since=now)
@@ -118,13 +118,13 @@
         effects: list[Effect] = []
         for sampler_id, owned in self._owned.items():
             if now >= owned.next_poll_at:
-                owned.next_poll_at = now + constants.LOAD_POLL_S
+                owned.next_poll_at = now + constants.LOAD_POLL_INTERVAL_S
                 effects.append(QueryLoad(sampler_id))
         if now >= self._next_gateway_report_at:
-            self._next_gateway_report_at = now + constants.GATEWAY_REPORT_S
+            self._next_gateway_report_at = now + constants.GATEWAY_REPORT_INTERVAL_S
             effects += self._report_to_gateways(now, gateways)
         if leader is not None and now >= self._next_controller_report_at:
-            self._next_controller_report_at = now + constants.CONTROLLER_REPORT_S
+            self._next_controller_report_at = now + constants.CONTROLLER_REPORT_INTERVAL_S
             effects += self._report(now, {leader: set(self._owned)})
         new_leader = leader is not None and leader != self._controller
         if leader is not None and (now >= self._next_running_report_at or new_leader):
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -103,7 +103,7 @@
         "requests under the same ends are all held at the third",
         "innocent requests",
         "stileloom/quarantine/book.py",
-        "may_share_crashes = len(own_crashes) >= ENDS_SHARED",
+        "may_share_crashes = len(own_crashes) >= SHARED_CRASH_THRESHOLD",
         "may_share_crashes = True",
         f"{BOOK}::QuarantineBookTest"
         "::test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs",
@@ -202,7 +202,7 @@
         "a failed attempt is said not to have run",
         "not_run is true",
         "stileloom/routing/gateway.py",
-        "        if surely_not_begun:\n            execution.mark_attempt_not_started()",
+        "        if never_started:\n            execution.mark_attempt_not_started()",
         "        execution.mark_attempt_not_started()",
         "tests/test_routing.py",
     ),
@@ -369,7 +369,7 @@
     Mutant(
         "an item is listed twice",
         "positions (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "if item.item_id not in known or item.item_id in job.listed:",
         "if item.item_id not in known:",
         "tests/test_routes.py",
@@ -377,7 +377,7 @@
     Mutant(
         "saved events of an earlier leader stay beside a later one's",
         "whole texts (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "saved.parts[item.first_part :] = item.parts",
         "saved.parts += item.parts",
         "tests/test_routes.py",
@@ -402,7 +402,7 @@
         "a follower asks only addresses that it has a name for",
         "elections",
         "stileloom/ledger/peer_addresses.py",
-        "return [address for address in self.everyone() if address not in named]",
+        "return [address for address in self.all_addresses() if address not in named]",
         "return []",
         "tests/test_peer_addresses.py",
     ),
@@ -426,7 +426,7 @@
         "a sampler that does not answer gets as many runs as it has slots",
         "work goes where it runs",
         "stileloom/jobs/scheduler.py",
-        "if sampler.suspect_until > now or (sampler.failures and stats.running):",
+        "if sampler.avoid_until > now or (sampler.failures and stats.running):",
         "if False:",
         "tests/test_item_scheduler.py",
     ),
@@ -508,7 +508,7 @@
     Mutant(
         "a new leader runs an item again whose text was whole",
         "scored items",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "            saved.whole = item.whole",
         "            saved.whole = False",
         f"{REWARDS}::RewardTest::"
@@ -568,8 +568,8 @@
         "orders leave after their window",
         "orders of one leader",
         "stileloom/jobs/order_window.py",
-        "        return self._ledger.may_act() and steady_time() < self._closes_at",
-        "        return self._ledger.may_act()",
+        "        return self._ledger.is_active_leader() and steady_time() < self._closes_at",
+        "        return self._ledger.is_active_leader()",
         f"{LEDGER}::OwnWindowTest::test_orders_are_sent_only_within_a_committed_window",
     ),
     Mutant(
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,7 +13,7 @@
 
 import testtools
 
-from stileloom.clock import SuspendAwareEventLoop, run_program
+from stileloom.clock import SuspendAwareEventLoop, run_main
 from tests.service_cluster import ServiceCluster, with_cluster
 
 SUSPEND_S = 10.0
@@ -43,10 +43,10 @@
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             window = leader._leadership.runner._loader._window
-            self.assertTrue(leader.may_act())
+            self.assertTrue(leader.is_active_leader())
             self.assertTrue(await window.open())
             with suspended(SUSPEND_S):
-                self.assertFalse(leader.may_act())
+                self.assertFalse(leader.is_active_leader())
                 self.assertFalse(window.is_open())
 
         with_cluster(scenario)
@@ -64,10 +64,10 @@
                     await asyncio.sleep(0)
             return fired.is_set()
 
-        self.assertTrue(run_program(run()))
+        self.assertTrue(run_main(run()))
 
     def test_run_program_uses_the_suspend_aware_loop(self) -> None:
         async def run() -> type:
             return type(asyncio.get_running_loop())
 
-        self.assertIs(SuspendAwareEventLoop, run_program(run()))
+        self.assertIs(SuspendAwareEventLoop, run_main(run()))
--- a/tests/test_job_client.py
+++ b/tests/test_job_client.py
@@ -15,7 +15,7 @@
 from stileloom.jobs.messages import EndJobCall, JobEnded, NotLeader, OutcomeUnknown
 from stileloom.logging import EventLog, configure_logs
 from stileloom.transport.call_frames import Reply, Request
-from stileloom.transport.calls import CallServer, FrameReader, encode_frame
+from stileloom.transport.calls import CallServer, FrameDecoder, encode_frame
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -35,15 +35,15 @@
         gone, listed, new = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
         nodes = LedgerNodes([gone, listed])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
-        nodes.learn([])
+        nodes.update_addresses([])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
-        nodes.learn([listed, new])
+        nodes.update_addresses([listed, new])
         self.assertEqual({listed, new}, self.targets(nodes, 6))
 
     def test_seeds_are_used_again_after_all_listed_nodes_failed(self) -> None:
         seed, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([seed])
-        nodes.learn([listed])
+        nodes.update_addresses([listed])
         self.assertEqual({listed}, self.targets(nodes, 3))
         nodes.record_failure()
         self.assertEqual({seed, listed}, self.targets(nodes, 4))
@@ -54,7 +54,7 @@
         leader, listed = ("10.0.0.1", 7), ("10.0.0.2", 7)
         nodes = LedgerNodes([leader])
         nodes.leader = leader
-        nodes.learn([listed])
+        nodes.update_addresses([listed])
         self.assertEqual({leader}, self.targets(nodes, 3))
 
 
@@ -147,9 +147,9 @@
     def test_frames_do_not_depend_on_how_the_input_is_split(self) -> None:
         sent = encode_frame("a") + encode_frame("b" * 100)
         for cut in range(len(sent)):
-            reader = FrameReader()
+            reader = FrameDecoder()
             frames = reader.feed(sent[:cut]) + reader.feed(sent[cut:])
             self.assertEqual(2, len(frames))
 
     def test_an_oversized_frame_is_rejected(self) -> None:
-        self.assertRaises(ValueError, FrameReader().feed, b"\xff\xff\xff\xff")
+        self.assertRaises(ValueError, FrameDecoder().feed, b"\xff\xff\xff\xff")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,14 +15,14 @@
 
 from stileloom.cli.quarantine import render
 from stileloom.jobs.messages import JobReply
-from stileloom.quarantine.book import ENDS_SHARED
+from stileloom.quarantine.book import SHARED_CRASH_THRESHOLD
 from stileloom.quarantine.messages import (
     QuarantineListed,
     ReleaseSuspectCall,
     SuspectReleased,
     WatchQuarantineCall,
 )
-from tests.service_cluster import GIVE_UP_S, ServiceCluster, with_cluster
+from tests.service_cluster import TIMEOUT_S, ServiceCluster, with_cluster
 
 POISON = "/charts/poison"
 ARRIVALS = 8
@@ -32,14 +32,14 @@
     cluster: ServiceCluster, service: str = "charts", poison: str = POISON
 ) -> int:
     """Replaces each crashed sampler by one with a new id; returns how many there were."""
-    crashed = [name for name, sampler in cluster.samplers.items() if sampler.ended_by]
+    crashed = [name for name, sampler in cluster.samplers.items() if sampler.crashed_by]
     for name in crashed:
-        await cluster.unlist(name)
+        await cluster.remove_sampler_entry(name)
         del cluster.samplers[name]
         successor = f"{name}+"
         await cluster.add_sampler(successor, service)
-        cluster.samplers[successor].faults.ends_at = frozenset({poison})
-        await cluster.until_listed(successor)
+        cluster.samplers[successor].faults.crash_targets = frozenset({poison})
+        await cluster.wait_until_listed(successor)
     return len(crashed)
 
 
@@ -59,12 +59,12 @@
 
 async def quarantine_poison(cluster: ServiceCluster) -> None:
     """Sends the poison request until every gateway refuses it."""
-    set_faults(cluster, ends_at=frozenset({POISON}))
+    set_faults(cluster, crash_targets=frozenset({POISON}))
     for number in range(3):
         await send_poison(cluster, number, gateway=0)
         await replace_crashed(cluster)
     for gateway in cluster.gateways:
-        await cluster.until(lambda: gateway._guard.view.quarantined_count == 1)  # noqa: B023
+        await cluster.wait_until(lambda: gateway._guard.view.quarantined_count == 1)  # noqa: B023
 
 
 async def send_poison(cluster: ServiceCluster, number: int, gateway: int) -> HTTPResponse:
@@ -79,7 +79,7 @@
 
     def test_a_poison_lookup_crashes_at_most_three_samplers_in_the_whole_fleet(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            set_faults(cluster, ends_at=frozenset({POISON}))
+            set_faults(cluster, crash_targets=frozenset({POISON}))
             crashed = 0
             for number in range(ARRIVALS):
                 await send_poison(cluster, number, gateway=number % 2)
@@ -93,12 +93,12 @@
 
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.add_sampler("chart-3", "charts")
-            await cluster.until_listed("chart-3")
-            set_faults(cluster, ends_at=frozenset({POISON}))
+            await cluster.wait_until_listed("chart-3")
+            set_faults(cluster, crash_targets=frozenset({POISON}))
             answer = await send_poison(cluster, 0, gateway=0)
             self.assertEqual(502, answer.code)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: not gateway._guard.view.empty)  # noqa: B023
+                await cluster.wait_until(lambda: not gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 1, gateway=1)
             self.assertEqual(503, answer.code)
             for number in (0, 1):
@@ -127,7 +127,7 @@
     def test_another_body_or_another_caller_is_another_request(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await quarantine_poison(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             answer = await cluster.call("POST", POISON, b"y", request_id="other-body")
             self.assertEqual(200, answer.code)
             answer = await cluster.call(
@@ -145,10 +145,10 @@
             leader = cluster.leader()
             assert leader is not None
             await cluster.kill(leader)
-            await cluster.until(lambda: cluster.leader() is not None)
+            await cluster.wait_until(lambda: cluster.leader() is not None)
             gateway = cluster.start_gateway("gateway-late")
-            with mock.patch("stileloom.daemon.gateway.SUSPECTS_PATIENCE_S", GIVE_UP_S):
-                await cluster.until(gateway._is_ready)
+            with mock.patch("stileloom.daemon.gateway.QUARANTINE_LIST_TIMEOUT_S", TIMEOUT_S):
+                await cluster.wait_until(gateway._is_ready)
             self.assertEqual(1, gateway._guard.view.quarantined_count)
             answer = await send_poison(cluster, 9, gateway=2)
             self.assertEqual(503, answer.code)
@@ -171,13 +171,13 @@
     def test_an_operator_releases_a_quarantined_request(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             await quarantine_poison(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             gateway = cluster.gateways[0]
             (identity,) = gateway._guard.view._listed
             reply: JobReply = await gateway._jobs.call(ReleaseSuspectCall(identity), "test", 5.0)
             self.assertEqual(SuspectReleased(True), reply)
             for gateway in cluster.gateways:
-                await cluster.until(lambda: gateway._guard.view.empty)  # noqa: B023
+                await cluster.wait_until(lambda: gateway._guard.view.has_no_suspects)  # noqa: B023
             answer = await send_poison(cluster, 9, gateway=1)
             self.assertEqual(200, answer.code)
 
@@ -189,14 +189,16 @@
 
     def test_connection_resets_by_running_samplers_do_not_count_as_crashes(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            set_faults(cluster, resets_at=frozenset({"/charts/cut"}))
+            set_faults(cluster, reset_targets=frozenset({"/charts/cut"}))
             for number in range(6):
                 await cluster.call("POST", "/charts/cut", b"x", number % 2, request_id=f"r{number}")
             self.assertGreater(runs_of(cluster, "/charts/cut"), 6)
-            set_faults(cluster, resets_at=frozenset())
+            set_faults(cluster, reset_targets=frozenset())
             answer = await cluster.call("POST", "/charts/cut", b"x", request_id="last")
             self.assertEqual(200, answer.code)
-            self.assertTrue(all(gateway._guard.view.empty for gateway in cluster.gateways))
+            self.assertTrue(
+                all(gateway._guard.view.has_no_suspects for gateway in cluster.gateways)
+            )
 
         with_cluster(scenario)
 
@@ -215,13 +217,13 @@
                 )
 
             for turn in range(2):
-                set_faults(cluster, ends_at=frozenset({POISON}))
+                set_faults(cluster, crash_targets=frozenset({POISON}))
                 for sampler in cluster.samplers.values():
                     sampler.faults.work_s = 0.1
                 calls = [send(number, turn) for number in range(200)]
                 await asyncio.gather(*calls, send_poison(cluster, turn, gateway=turn))
                 await replace_crashed(cluster)
-            set_faults(cluster, ends_at=frozenset())
+            set_faults(cluster, crash_targets=frozenset())
             for number in range(200):
                 answer = await send(number, 9)
                 self.assertEqual(200, answer.code, answer.body)
@@ -237,7 +239,7 @@
             target = "/drafts/poison"
 
             for sampler in cluster.samplers.values():
-                sampler.faults.ends_at = frozenset({target})
+                sampler.faults.crash_targets = frozenset({target})
             answer = await cluster.submit("job", ["poison", "good-1", "good-2"])
             self.assertEqual(202, answer.code)
             leader = cluster.leader()
@@ -253,7 +255,7 @@
             self.assertEqual({"succeeded"}, {result[1] for result in results})
             crashed += await replace_crashed(cluster, "drafts", target)
             # Other items of the job run concurrently and may share all of the first three crashes.
-            self.assertLessEqual(crashed, ENDS_SHARED)
+            self.assertLessEqual(crashed, SHARED_CRASH_THRESHOLD)
             self.assertEqual(1, guard.view.quarantined_count)
 
         with_cluster(scenario)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -10,11 +10,11 @@
 
 import testtools
 
-from stileloom.http1.caller import call as call_sampler
+from stileloom.http1.caller import send_request
 from stileloom.http1.pool import ConnectionPool
 from stileloom.jobs.messages import EndJobCall, JobEnded
 from stileloom.transport.call_frames import Reply, Request
-from stileloom.transport.calls import CallConnections, CallFailed, CallServer
+from stileloom.transport.calls import CallConnectionPool, CallFailed, CallServer
 from tests.ports import free_port
 from tests.service_cluster import ServiceCluster, with_cluster
 from tests.soak.loopback_proxy import Link, TcpProxy
@@ -47,9 +47,9 @@
             await server.start(HOST, port)
             proxy = TcpProxy(Link(), (HOST, port))
             address = (HOST, await proxy.start(HOST))
-            connections = CallConnections()
+            connections = CallConnectionPool()
             await connections.call(address, CALL, ANSWERED_CALL_TIMEOUT_S)
-            proxy.silence_open()
+            proxy.stall_open_connections()
             sent = False
             try:
                 await connections.call(address, CALL, UNANSWERED_CALL_TIMEOUT_S)
@@ -77,11 +77,11 @@
                 UNANSWERED_CALL_TIMEOUT_S,
                 ANSWERED_CALL_TIMEOUT_S,
             ):
-                answer = await call_sampler(pool, "s", address, "GET", "/", [], b"", timeout_s)
+                answer = await send_request(pool, "s", address, "GET", "/", [], b"", timeout_s)
                 statuses.append(answer.head.status if answer is not None else None)
                 if len(statuses) == 1:
-                    proxy.silence_open()
-            pool.forget("s")
+                    proxy.stall_open_connections()
+            pool.close_connections("s")
             proxy.stop()
             server.close()
             return statuses
@@ -94,10 +94,10 @@
 
     def test_lookup_over_unresponsive_connection_is_answered_by_another_sampler(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            proxies = [await cluster.put_proxy_before(name) for name in ("chart-1", "chart-2")]
+            proxies = [await cluster.add_proxy(name) for name in ("chart-1", "chart-2")]
             for number in range(4):
                 await cluster.call("POST", "/charts/7", b"x", request_id=f"warm{number}")
-            proxies[0].silence_open()
+            proxies[0].stall_open_connections()
             for number in range(4):
                 answer = await cluster.call(
                     "POST", "/charts/7", b"x", request_id=f"r{number}", deadline_ms=DEADLINE_MS
@@ -110,11 +110,11 @@
 
     def test_job_items_complete_after_connections_stop_responding(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            proxies = [await cluster.put_proxy_before(name) for name in ("draft-1", "draft-2")]
+            proxies = [await cluster.add_proxy(name) for name in ("draft-1", "draft-2")]
             await cluster.submit("first", [f"a{number}" for number in range(8)])
             await cluster.results("first", 8)
             for proxy in proxies:
-                proxy.silence_open()
+                proxy.stall_open_connections()
             await cluster.submit("second", [f"b{number}" for number in range(8)])
             results = await cluster.results("second", 8)
             self.assertEqual({"succeeded"}, {result[1] for result in results})
