--- a/stileloom/policy/__init__.py
+++ b/stileloom/policy/__init__.py
@@ -2,7 +2,7 @@
 
 from stileloom.policy.compiler import CompiledRule, RuleKind, compile_rule
 from stileloom.policy.inputs import PoolInput, RequestInput, RoundInput, RuleInputs, TimeInput
-from stileloom.policy.registry import PolicyRegistry, RuleOutcome, check_policy
+from stileloom.policy.registry import PolicyRegistry, RuleResult, check_policy
 
 __all__ = [
     "CompiledRule",
@@ -12,7 +12,7 @@
     "RoundInput",
     "RuleInputs",
     "RuleKind",
-    "RuleOutcome",
+    "RuleResult",
     "TimeInput",
     "check_policy",
     "compile_rule",
--- a/stileloom/routing/explain.py
+++ b/stileloom/routing/explain.py
@@ -1,4 +1,4 @@
-"""Routing explanations, and the inputs that policies get for a lookup."""
+"""Builds routing explanations and the policy inputs of a lookup."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     )
 
 
-def explanation(
+def build_explanation(
     request: LookupRequest,
     pool: str,
     candidate_views: list[CandidateView],
@@ -32,22 +32,22 @@
     inputs: RuleInputs,
     wall_time_s: float,
 ) -> Explanation:
-    """Builds the explanation from the eligibility of each sampler."""
+    """Selects a sampler from the eligible candidates and lists the rules that applied."""
     candidates = [
         Candidate(candidate.sampler_id, candidate.zone, candidate.load)
         for candidate in candidate_views
         if candidate.eligible
     ]
-    outcomes = [
-        outcome
+    rule_results = [
+        result
         for kind in (RuleKind.PRIORITY, RuleKind.PLACEMENT)
-        for outcome in policies.outcomes(kind, inputs, wall_time_s)
+        for result in policies.rule_results(kind, inputs, wall_time_s)
     ]
     return Explanation(
         service=request.service,
         pool=pool,
         priority=policies.priority(inputs, wall_time_s),
         chosen=choose_sampler(candidates, zone, request.prefix_key, random.Random(0)),
-        rules=[f"{outcome.policy}: {outcome.rule} = {outcome.value}" for outcome in outcomes],
+        rules=[f"{result.policy}: {result.rule} = {result.value}" for result in rule_results],
         candidates=candidate_views,
     )
