--- a/stileloom/jobs/book.py
+++ b/stileloom/jobs/book.py
@@ -19,7 +19,7 @@
 
 
 def result_size(result: ItemResult) -> int:
-    """Returns an upper estimate of a result's encoded size, allowing for escaped characters."""
+    """Returns an upper estimate of the encoded size of a result, including escaped characters."""
     return 2 * len(result.text) + 200
 
 
@@ -62,7 +62,7 @@
 
     jobs: dict[str, JobRecord] = msgspec.field(default_factory=dict)
     interval_s: dict[str, float] = msgspec.field(default_factory=dict)
-    """Event interval of each sampler as recorded by the last leader."""
+    """Event interval of each sampler, as last recorded by a leader."""
 
     def submit(self, submission: JobSubmission) -> bool:
         """Adds a job; returns False if it was added before."""
@@ -86,7 +86,7 @@
             saved.whole = item.whole
 
     def record(self, job_id: str, finished: list[FinishedItem]) -> None:
-        """Lists results in the given order, except for items that have one."""
+        """Appends results in the given order; items that already have one are skipped."""
         job = self.jobs.get(job_id)
         if job is None:
             return
--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -23,8 +23,10 @@
 
 CALL_TIMEOUT_S = 1.2
 """Timeout of one attempt."""
-RETRY_PAUSE_S = 0.1
+RETRY_DELAY_S = 0.1
+"""Delay between two attempts."""
 RETRY_AFTER_S = 0.3
+"""Retry hint to the caller if no leader answered."""
 
 
 class LedgerNodes:
@@ -86,8 +88,8 @@
         """Returns the leader's answer.
 
         `request_id` is the id of the caller's request, or empty for internal calls of this node.
-        Raises `StileloomError` (LEDGER_UNAVAILABLE) with outcome NOT_RUN if no node can have
-        executed the call, and UNKNOWN otherwise.
+        Raises `StileloomError` (LEDGER_UNAVAILABLE) if no leader answers in time. The outcome is
+        NOT_RUN if no node can have executed the call, and UNKNOWN otherwise.
         """
         deadline = steady_time() + timeout_s
         may_have_run = False
@@ -112,7 +114,7 @@
                 except CallFailed as failure:
                     may_have_run |= failure.sent
                     self._handle_failure(target, request_id, str(failure))
-            await asyncio.sleep(min(RETRY_PAUSE_S, max(0.0, deadline - steady_time())))
+            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, deadline - steady_time())))
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
         detail = f"no ledger leader answered after {attempts} attempts"
         raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, detail, outcome, RETRY_AFTER_S)
@@ -120,7 +122,7 @@
     def _follow_leader_hint(
         self, target: tuple[str, int], reply: NotLeader | OutcomeUnknown
     ) -> bool:
-        """Adopts the leader named in a reply; returns False if it names none."""
+        """Adopts the leader named in a reply; returns False if it names no other node."""
         self._nodes.leader = None
         hint = reply.leader if isinstance(reply, NotLeader) else ""
         if not hint or split_address(hint) == target:
--- a/stileloom/jobs/engine_control.py
+++ b/stileloom/jobs/engine_control.py
@@ -21,13 +21,13 @@
     ACCEPTED = "accepted"
     ALREADY_LOADED = "holds_already"
     BUSY = "busy"
-    """Another order is in progress or was accepted in between."""
+    """Another order is in progress or was accepted since the report that this one refers to."""
     FENCED = "fenced"
     REFUSED = "refused"
     GONE = "gone"
     """The address belongs to another sampler."""
     UNKNOWN = "unknown"
-    """No answer; the order may still be executed, even seconds later."""
+    """No answer or a server error; the order may still be executed, even seconds later."""
 
 
 _OUTCOMES = {
--- a/stileloom/jobs/intake.py
+++ b/stileloom/jobs/intake.py
@@ -11,7 +11,7 @@
 
 
 def item_size(headers: dict[str, str], names: HeaderNames) -> ItemSize:
-    """Estimates the size of an item from the length hint, or half of its token limit."""
+    """Estimates the size of an item from its length hint or from half of its token limit."""
     by_name = {name.lower(): value for name, value in headers.items()}
     usage = [_tokens(part) for part in by_name.get(names.token_usage.lower(), "").split(",")]
     prompt, limit = (usage[0], usage[1]) if len(usage) == 2 else (None, None)
--- a/stileloom/jobs/item_stream.py
+++ b/stileloom/jobs/item_stream.py
@@ -21,7 +21,7 @@
     MISDIRECTED = "misdirected"
     """The address belongs to another sampler or another version of the weights."""
     FAILED = "failed"
-    """Status 500, a failed attempt of the item."""
+    """Status 500: counts as a failed attempt of the item."""
     IMPOSSIBLE = "impossible"
     """Status 422: the sampler can never run the item."""
     TOO_OLD = "too_old"
--- a/stileloom/jobs/model_versions.py
+++ b/stileloom/jobs/model_versions.py
@@ -1,7 +1,7 @@
 """Assignment of samplers to models, and the last known weight versions of each sampler.
 
-Versions never decrease within one incarnation of a sampler, so the highest version from the
-directory, an answer or a report is the current one.
+Versions never decrease within one incarnation of a sampler, so the highest version seen in the
+directory or in a report is the latest known one.
 """
 
 from __future__ import annotations
--- a/stileloom/jobs/open_items.py
+++ b/stileloom/jobs/open_items.py
@@ -14,9 +14,10 @@
 DEFAULT_TOKENS_PER_EVENT = 1.0
 """Used if the service does not configure the number of tokens per event."""
 EXPECTED_OUTPUT_SHARE = 0.4
-"""Fraction of the expected output that is reserved in the sampler's cache for a run.
+"""Fraction of the expected output for which a run reserves space in its sampler's KV cache.
 
-Less than one because a preempted run costs less than an unused slot."""
+Less than one, because a preempted run costs less than an unused slot.
+"""
 INITIAL_INTERVAL_S = 0.045
 
 
@@ -44,6 +45,7 @@
     adopted_at: float
     deadline: float
     reused: bool = False
+    """Whether an earlier job contained the item."""
     partial: PartialText = msgspec.field(default_factory=PartialText)
     failures: int = 0
     rejections: int = 0
@@ -56,7 +58,7 @@
     has_run: bool = False
     """Whether a run was started by this leader."""
     saved_parts: int = 0
-    """Number of events that are saved in the ledger or submitted to it."""
+    """Number of events that are saved in the ledger or are being saved."""
 
     @property
     def estimated_tokens(self) -> float:
@@ -75,13 +77,13 @@
     tokens: float = 0.0
 
 
-class StartRun(msgspec.Struct, frozen=True):
-    """A planned run that resumes the item after its last event."""
+class PlannedRun(msgspec.Struct, frozen=True):
+    """An item and its planned run, which resumes after the last event."""
 
     item: OpenItem
     sampler_id: str
     run: ItemRun
-    """The planned run; the item may have another one by the time the request is sent."""
+    """Compared with the item's current run before sending, because that may have changed."""
 
 
 class SamplerStats(msgspec.Struct):
--- a/stileloom/jobs/order_window.py
+++ b/stileloom/jobs/order_window.py
@@ -1,4 +1,4 @@
-"""Order window of the leader: a short interval, committed to the ledger, for sending orders."""
+"""Order windows: short intervals, committed to the ledger, in which the leader may send orders."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stileloom.ledger.order_windows import ORDER_WINDOW_S
 
 MIN_REMAINING_S = 0.2
-"""Minimum remaining time of a window; below it a new one is opened."""
+"""A new window is opened if less time than this remains."""
 
 
 class OrderWindow:
@@ -22,11 +22,14 @@
         """Infinite if windows are disabled; then only the lease restricts orders."""
 
     def is_open(self) -> bool:
-        """Whether an order may be sent now; the process may have been suspended in between."""
+        """Whether an order may be sent now.
+
+        Checked again before each send, because the process may have been suspended.
+        """
         return self._ledger.may_act() and steady_time() < self._closes_at
 
     async def open(self) -> bool:
-        """Ensures that a window with enough time is open; returns False if that failed."""
+        """Opens a new window if too little time remains; returns whether an order may be sent."""
         proposed_at = steady_time()
         if self._ledger.may_act() and proposed_at < self._closes_at - MIN_REMAINING_S:
             return True
--- a/stileloom/jobs/partial_text.py
+++ b/stileloom/jobs/partial_text.py
@@ -22,7 +22,7 @@
 
     @property
     def text(self) -> str:
-        """The data of all events, concatenate by line feeds."""
+        """The data of all events, joined by line feeds."""
         return "\n".join(self.parts)
 
     def add(self, event_id: int, data: str, version: int) -> None:
--- a/stileloom/jobs/result_cache.py
+++ b/stileloom/jobs/result_cache.py
@@ -1,4 +1,4 @@
-"""Cache of the results that a gateway has read.
+"""Cache of the job results that a gateway has read from the leader.
 
 Listed results and their positions never change, so repeated reads need no call to the leader,
 which may be in another zone.
@@ -54,9 +54,9 @@
         cached = self._jobs.pop(job_id, None) or _CachedJob()
         self._jobs[job_id] = cached
         cached.total_items = page.total_items
-        for number, result in enumerate(page.results, start=position):
-            if number not in cached.results:
-                cached.results[number] = result
+        for result_position, result in enumerate(page.results, start=position):
+            if result_position not in cached.results:
+                cached.results[result_position] = result
                 cached.size += result_size(result)
                 self._size += result_size(result)
         while self._size > self._max_bytes and len(self._jobs) > 1:
--- a/stileloom/jobs/result_writer.py
+++ b/stileloom/jobs/result_writer.py
@@ -22,7 +22,7 @@
 from stileloom.logging import EventLog
 
 FLUSH_DELAY_S = 0.02
-"""Results within this time are committed in one command."""
+"""Results of a job within this time are committed in one command."""
 MAX_ITEMS_LOGGED = 16
 INTERVAL_CHANGE_FACTOR = 1.15
 """Event intervals are saved again only if one changed by at least this factor."""
@@ -61,19 +61,19 @@
         for job_id in list(self._waiters):
             self.notify_waiters(job_id)
 
-    def wait(self, job_id: str) -> asyncio.Future[None]:
+    def wait_for_results(self, job_id: str) -> asyncio.Future[None]:
         """Returns a future that is resolved when the job has new results or has ended."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.setdefault(job_id, []).append(future)
         return future
 
-    def list_result(self, job_id: str, result: FinishedItem) -> None:
+    def queue_result(self, job_id: str, result: FinishedItem) -> None:
         """Queues a result for the next flush."""
         self._finished.setdefault(job_id, []).append(result)
         self._schedule_flush()
 
-    def save_complete_text(self, open_item: OpenItem) -> None:
-        """Queues a complete text to be saved, so that a new leader only requests its score."""
+    def queue_complete_text(self, open_item: OpenItem) -> None:
+        """Queues a complete text for saving, so that a new leader only has to request its score."""
         self._complete_texts.append(open_item)
         self._schedule_flush()
 
@@ -88,12 +88,12 @@
         complete_texts, self._complete_texts = self._complete_texts, []
         if self._stopped:
             return
-        # Texts first, because a result refers to the number of saved events.
+        # Texts first, because a result contains the number of events that are already saved.
         self._save_events([open_item for open_item in complete_texts if not open_item.finished])
         for job_id, results in finished.items():
-            self._tasks.spawn(self._record(job_id, results))
+            self._tasks.spawn(self._commit_results(job_id, results))
 
-    async def _record(self, job_id: str, results: list[FinishedItem]) -> None:
+    async def _commit_results(self, job_id: str, results: list[FinishedItem]) -> None:
         try:
             await self._ledger.propose(RecordResults(job_id, results))
         except StileloomError:
@@ -115,7 +115,7 @@
         self._on_listed()
 
     def save_progress(self) -> None:
-        """Saves events of long items, so that a new leader resumes from there."""
+        """Saves events of unfinished items, so that a new leader can resume them."""
         self._save_events(self._scheduler.items_to_save())
 
     def _save_events(self, open_items: list[OpenItem]) -> None:
@@ -136,9 +136,9 @@
             )
             open_item.saved_parts = len(partial.parts)
         for job_id, items in by_job.items():
-            self._tasks.spawn(self._save(job_id, items))
+            self._tasks.spawn(self._commit_progress(job_id, items))
 
-    async def _save(self, job_id: str, items: list[ItemProgress]) -> None:
+    async def _commit_progress(self, job_id: str, items: list[ItemProgress]) -> None:
         try:
             await self._ledger.propose(SaveProgress(job_id, items))
         except StileloomError:
@@ -149,9 +149,9 @@
         """Saves the measured event intervals if they changed."""
         intervals = self._scheduler.measured_intervals()
         if _have_changed(intervals, self._registry.interval_s):
-            self._tasks.spawn(self._record_intervals(intervals))
+            self._tasks.spawn(self._commit_intervals(intervals))
 
-    async def _record_intervals(self, intervals: dict[str, float]) -> None:
+    async def _commit_intervals(self, intervals: dict[str, float]) -> None:
         try:
             await self._ledger.propose(RecordIntervals(intervals))
         except StileloomError:
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -1,8 +1,8 @@
 """Sends the reward calls of complete texts during one leadership.
 
 A reward call follows the route of its host and path and uses the same forwarder as lookups. It is
-idempotent and is retried until a score arrives, its failed attempts reach the limit of the route,
-or its item is removed.
+idempotent and is retried until it returns a score, it has failed as often as its route allows, or
+its item is removed.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from stileloom.proxy.sampler_table import SamplerTable
 
 RETRY_S = 0.1
-"""Delay before a call without a score is retried."""
+"""Delay before a call that returned no score is retried."""
 QUARANTINE_RETRY_S = 2.0
 """Delay before a call that was rejected as quarantined is retried."""
 FAILED_STATUS = 500
@@ -42,7 +42,7 @@
         """Handles the score of an item's text."""
 
     def on_reward_failed(self, open_item: OpenItem, reason: str) -> None:
-        """Handles a call whose failed attempts reached the limit of its route."""
+        """Handles a call that failed as often as its route allows."""
 
 
 class PendingReward(msgspec.Struct):
@@ -81,7 +81,7 @@
         self._windows: dict[str, RewardWindow] = {}
 
     def __len__(self) -> int:
-        """Returns the number of texts without a score."""
+        """Returns the number of pending reward calls."""
         return len(self._pending)
 
     def request_score(self, open_item: OpenItem, call: RewardCall) -> None:
@@ -114,7 +114,7 @@
             self.cancel(key)
 
     def step(self, now: float) -> None:
-        """Starts due calls within the limits of their services, oldest text first."""
+        """Starts due calls in the order they were queued, within the limit of each service."""
         for pending in list(self._pending.values()):
             if pending.task is not None or now < pending.not_before:
                 continue
@@ -163,7 +163,7 @@
             self._schedule_retry(pending, steady_time(), error)
 
     async def _forward(self, pending: PendingReward, route: Route, service: str) -> LookupAnswer:
-        """Forwards the call once, with the attempts and timeout of its route."""
+        """Forwards the call as a lookup, with the attempts and timeout of its route."""
         call = pending.call
         now = steady_time()
         remaining_s = max(RETRY_S, min(route.timeout_s, pending.item.deadline - now))
@@ -171,8 +171,8 @@
         lookup = Lookup(
             call.request_id, "POST", call.path, headers, call.body, now, now + remaining_s
         )
-        repeatable = msgspec.structs.replace(route, kind=RouteKind.SAFE)
-        return await self._forwarder.forward(lookup, repeatable, service)
+        safe_route = msgspec.structs.replace(route, kind=RouteKind.SAFE)
+        return await self._forwarder.forward(lookup, safe_route, service)
 
     def _handle_answer(
         self, pending: PendingReward, answer: LookupAnswer, max_attempts: int
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of open jobs and orders weight loads on the ledger's leader.
+"""Runs the items of open jobs and orders weight loads; active only on the ledger's leader.
 
 All state is in memory. A new leader rebuilds it from the jobs in the ledger, the samplers'
 reports and the object store.
@@ -29,7 +29,7 @@
     DEFAULT_TOKENS_PER_EVENT,
     ItemRun,
     OpenItem,
-    StartRun,
+    PlannedRun,
 )
 from stileloom.jobs.result_writer import ResultWriter
 from stileloom.jobs.reward_caller import RewardCaller
@@ -45,16 +45,17 @@
 from stileloom.quarantine.guard import QuarantineGuard
 from stileloom.switches import Switches
 
-RETRY_S = 0.05
+RUN_RETRY_DELAY_S = 0.05
 REFUSAL_BACKOFF_S = 0.15
 DEADLINE_MARGIN_S = 2.0
+"""Time after the maximum wait of its route at which an item is given up."""
 MAX_REJECTIONS = 1
 SAVE_INTERVAL_S = 0.25
-INTERVAL_RECORD_PERIOD_S = 2.0
-"""Interval at which measured event intervals are saved for a later leader."""
+EVENT_INTERVAL_SAVE_PERIOD_S = 2.0
+"""Period at which the measured event intervals of samplers are saved for the next leader."""
 START_DELAY_S = 0.2
 VERSION_LIST_TIMEOUT_S = 0.6
-"""Time after which a new leader orders loads without the list of announced versions."""
+"""Time after which a new leader orders loads even without the list of announced versions."""
 STEP_DELAY_S = 0.005
 MAX_MOVES_PER_STEP = 3
 
@@ -97,13 +98,13 @@
         self._metrics = metrics
         self._pool = ConnectionPool()
         self._connections: dict[tuple[str, str], SamplerConnection] = {}
-        self._adopted: dict[str, float] = {}
+        self._adopted_at: dict[str, float] = {}
         self._stopped = False
         self._next_save_at = 0.0
-        self._next_interval_record_at = steady_time() + INTERVAL_RECORD_PERIOD_S
+        self._next_event_interval_save_at = steady_time() + EVENT_INTERVAL_SAVE_PERIOD_S
         self._version_list_deadline = steady_time() + VERSION_LIST_TIMEOUT_S
         self._starts_allowed_at = steady_time() + START_DELAY_S
-        """Delays the first runs, so that they do not start on samplers that are about to load."""
+        """Delays the first runs, because samplers may be about to load weights."""
         self._tasks = BackgroundTasks(log)
         self._suspects = SuspectItems(parts.guard, self.scheduler, self._host_of, self._tasks, log)
         self._writer = ResultWriter(
@@ -154,17 +155,17 @@
         self._loader.record_versions(sampler_id, versions)
 
     def sampler_gone(self, sampler_id: str) -> None:
-        """Handles a sampler that is leaving or gone; its runs continue while events arrive."""
+        """Handles a sampler that is draining or gone; its runs continue while events arrive."""
         self._suspects.forget_sampler(sampler_id)
         self._pool.forget(sampler_id)
         self._loader.forget_sampler(sampler_id)
 
-    def results_wait(self, job_id: str) -> asyncio.Future[None]:
+    def wait_for_results(self, job_id: str) -> asyncio.Future[None]:
         """Returns a future that is resolved when the job has new results or has ended."""
-        return self._writer.wait(job_id)
+        return self._writer.wait_for_results(job_id)
 
-    def _may_act(self) -> bool:
-        """Whether this node still leads.
+    def _is_active_leader(self) -> bool:
+        """Whether this node is still the active leader.
 
         Checked before each send, because the process may have been suspended since its last step.
         """
@@ -174,7 +175,7 @@
 
     def step(self) -> None:
         """Applies changes of the job registry and starts due runs, loads and reward calls."""
-        if not self._may_act():
+        if not self._is_active_leader():
             return
         now = steady_time()
         self._sync_jobs(now)
@@ -192,15 +193,15 @@
             self._next_save_at = now + SAVE_INTERVAL_S
             if self._switches.saved_events:
                 self._writer.save_progress()
-        if now >= self._next_interval_record_at and self._switches.recorded_paces:
-            self._next_interval_record_at = now + INTERVAL_RECORD_PERIOD_S
+        if now >= self._next_event_interval_save_at and self._switches.recorded_paces:
+            self._next_event_interval_save_at = now + EVENT_INTERVAL_SAVE_PERIOD_S
             self._writer.record_intervals()
 
     def _move_slow_runs(self, now: float) -> None:
-        """Restarts slow runs on the faster sampler at once, so that its slot is not taken."""
+        """Moves slow runs, and restarts each at once so that no other item takes its new slot."""
         if not self._switches.moves:
             return
-        starts: list[StartRun] = []
+        starts: list[PlannedRun] = []
         for open_item in self.scheduler.slow_runs(now):
             sampler_id = self.scheduler.faster_sampler(open_item, now)
             if sampler_id is not None and len(starts) < MAX_MOVES_PER_STEP:
@@ -208,7 +209,7 @@
                 starts.append(self.scheduler.start_at(open_item, sampler_id, now))
         self._begin(starts)
 
-    def _begin(self, starts: list[StartRun]) -> None:
+    def _begin(self, starts: list[PlannedRun]) -> None:
         self._log_started_runs(starts)
         for start in starts:
             self._tasks.spawn(self._run_item(start))
@@ -230,8 +231,8 @@
         if now >= self._starts_allowed_at:
             self._begin(self.scheduler.plan_starts(now, models))
 
-    def _log_started_runs(self, starts: list[StartRun]) -> None:
-        """Logs one line per job and sampler, since a step may start dozens of items."""
+    def _log_started_runs(self, starts: list[PlannedRun]) -> None:
+        """Logs one line per job and sampler, because a step may start dozens of runs."""
         items_by_target: dict[tuple[str, str], list[OpenItem]] = {}
         for start in starts:
             items_by_target.setdefault((start.item.key[0], start.sampler_id), []).append(start.item)
@@ -251,8 +252,8 @@
 
     def _sync_jobs(self, now: float) -> None:
         for job_id, record in list(self._registry.jobs.items()):
-            if job_id not in self._adopted:
-                self._adopted[job_id] = now
+            if job_id not in self._adopted_at:
+                self._adopted_at[job_id] = now
             if record.is_open:
                 self._adopt(record, now)
         for job_id in {job_id for job_id, _ in self.scheduler.items}:
@@ -265,18 +266,18 @@
 
     def _adopt(self, record: JobRecord, now: float) -> None:
         submission = record.submission
-        first = submission.items[0].item_id if submission.items else ""
-        known = any(
+        first_item_id = submission.items[0].item_id if submission.items else ""
+        is_adopted = any(
             (submission.job_id, item.item_id) in self.scheduler.items for item in submission.items
         )
-        if known or not first:
+        if is_adopted or not first_item_id:
             return
         route = self._route_of(record)
         if route is None:
             return
         reusable = reusable_results(self._registry, record, route.single_version)
         for finished in reusable:
-            self._writer.list_result(submission.job_id, finished)
+            self._writer.queue_result(submission.job_id, finished)
         names = self._dialect.names
         sizes = {item.item_id: item_size(item.headers, names) for item in submission.items}
         self.planner.named(submission.model, submission.min_version, now)
@@ -285,7 +286,7 @@
             route.backends[0].service,
             route.single_version,
             route.max_attempts,
-            route.max_wait_s + DEADLINE_MARGIN_S - (now - self._adopted[submission.job_id]),
+            route.max_wait_s + DEADLINE_MARGIN_S - (now - self._adopted_at[submission.job_id]),
             sizes,
             now,
             self._tokens_per_event(route.backends[0].service),
@@ -318,7 +319,7 @@
         return route if route is not None and route.kind is RouteKind.BATCH else None
 
     def _remove_job(self, job_id: str) -> None:
-        self._metrics.job_time.observe(steady_time() - self._adopted[job_id])
+        self._metrics.job_time.observe(steady_time() - self._adopted_at[job_id])
         for open_item in self.scheduler.drop_job(job_id):
             self._stop_run(open_item, "job ended")
             self._rewards.cancel(open_item.key)
@@ -326,14 +327,14 @@
 
     # Runs.
 
-    async def _run_item(self, start: StartRun) -> None:
+    async def _run_item(self, start: PlannedRun) -> None:
         open_item = start.item
         run = start.run
         if open_item.run is not run:
             return
         sampler = self._samplers.get(start.sampler_id)
         if sampler is None:
-            self.scheduler.run_ended(open_item)
+            self.scheduler.end_run(open_item)
             return
         entry = sampler.entry
         if not self._suspects.may_start(open_item, entry.sampler_id):
@@ -346,10 +347,10 @@
                 open_item, entry.sampler_id, RunOutcome.BROKEN, type(error).__name__
             )
             if open_item.run is run:
-                self.scheduler.run_ended(open_item, avoid=True)
-                open_item.not_before = steady_time() + RETRY_S
+                self.scheduler.end_run(open_item, avoid=True)
+                open_item.not_before = steady_time() + RUN_RETRY_DELAY_S
             return
-        if open_item.run is not run or not self._may_act():
+        if open_item.run is not run or not self._is_active_leader():
             self._pool.release(entry.sampler_id, connection)
             return
         # A copy, so that late events of this run cannot modify the text of a later run.
@@ -407,20 +408,20 @@
                     "reason": reason,
                 },
             )
-        self.scheduler.run_ended(open_item, avoid)
+        self.scheduler.end_run(open_item, avoid)
 
     def _on_run_ended(
-        self, start: StartRun, entry: SamplerEntry, outcome: RunOutcome, detail: str
+        self, start: PlannedRun, entry: SamplerEntry, outcome: RunOutcome, detail: str
     ) -> None:
         open_item = start.item
         sampler_id = start.sampler_id
         if open_item.run is not start.run:
-            # The run was stopped before, and its text is no longer the item's.
+            # The run was stopped earlier; the item may have another run by now.
             return
         connection = self._connections.pop(open_item.key, None)
         now = steady_time()
         failed = outcome in (RunOutcome.FAILED, RunOutcome.BROKEN, RunOutcome.REFUSED)
-        self.scheduler.run_ended(open_item, avoid=failed)
+        self.scheduler.end_run(open_item, avoid=failed)
         if connection is not None:
             if outcome in (RunOutcome.TOO_OLD, RunOutcome.BROKEN):
                 connection.close()
@@ -434,7 +435,7 @@
             self._on_complete_text(open_item)
             return
         self._log_failed_run(open_item, sampler_id, outcome, detail)
-        open_item.not_before = now + RETRY_S
+        open_item.not_before = now + RUN_RETRY_DELAY_S
         if outcome is RunOutcome.BROKEN:
             self._suspects.on_run_broken(open_item, entry, now - start.run.started_at)
         if outcome is RunOutcome.REFUSED:
@@ -482,7 +483,7 @@
         if reward is None:
             self._finish(open_item, ItemState.SUCCEEDED, "")
             return
-        self._writer.save_complete_text(open_item)
+        self._writer.queue_complete_text(open_item)
         self._rewards.request_score(open_item, reward)
 
     def on_scored(self, open_item: OpenItem, score: str) -> None:
@@ -490,7 +491,7 @@
         self._finish(open_item, ItemState.SUCCEEDED, "", score)
 
     def on_reward_failed(self, open_item: OpenItem, reason: str) -> None:
-        """Gives up an item whose reward call failed."""
+        """Gives up an item whose reward call failed too often."""
         self._finish(open_item, ItemState.GIVEN_UP, reason)
 
     def _finish(self, open_item: OpenItem, state: ItemState, reason: str, score: str = "") -> None:
@@ -517,7 +518,7 @@
                     "failures": open_item.failures,
                 },
             )
-        self._writer.list_result(open_item.key[0], result)
+        self._writer.queue_result(open_item.key[0], result)
 
     async def _load(self, load: Load) -> None:
         await self._loader.load(load)
@@ -528,7 +529,7 @@
         now = steady_time()
         return [
             ForgetJob(job_id)
-            for job_id, adopted_at in self._adopted.items()
+            for job_id, adopted_at in self._adopted_at.items()
             if now - adopted_at > retention_s
             and job_id in self._registry.jobs
             and not self._registry.jobs[job_id].is_open
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -19,8 +19,8 @@
     ItemRun,
     ItemSize,
     OpenItem,
+    PlannedRun,
     SamplerStats,
-    StartRun,
 )
 from stileloom.jobs.partial_text import PartialText
 from stileloom.proxy.sampler_table import SamplerBelief, SamplerTable
@@ -32,14 +32,14 @@
 """Event timeout while the sampler loads weights."""
 SHARED_PROMPT_COST_FACTOR = 0.95
 FULL_SAMPLER_SLOWDOWN = 0.1
-"""Assumed relative slowdown of a full sampler, on top of its measured event interval."""
+"""Assumed relative slowdown at full load, applied to the measured event interval."""
 MOVE_MIN_SPEEDUP = 1.2
 MOVE_MIN_GAIN_S = 0.35
-"""A move has to process the prompt and the generated text again and may open a connection."""
+"""Minimum time saved by a move, which processes the prompt and the generated text again."""
 MOVE_MIN_AGE_S = 0.7
 MOVE_MIN_EVENTS_LEFT = 5.0
 REMAINING_TO_GENERATED_RATIO = 0.5
-"""Remaining length, relative to the generated one, of an output longer than expected."""
+"""Minimum estimate of the remaining output, as a fraction of the generated one."""
 MAX_CACHE_FILL = 0.95
 MIN_EVENTS_PER_SAVE = 5
 """Number of unsaved events at which an item is saved to the ledger."""
@@ -61,6 +61,7 @@
         self._switches = switches
         self.items: dict[ItemKey, OpenItem] = {}
         self.models: dict[str, SamplerModels] = {}
+        """Model versions of each sampler, by sampler id."""
         self.cache_tokens: dict[str, float] = {}
         """KV cache capacity in tokens of each sampler, by service."""
         self._samplers = samplers
@@ -71,6 +72,7 @@
         self._assignment: dict[str, str] = {}
         self._assignment_inputs: tuple[frozenset[str], frozenset[str]] | None = None
         self._demand: dict[str, float] = {}
+        """Expected output tokens of the last adopted job, by model."""
         self._assigned_demand: dict[str, float] = {}
         self._kept: dict[str, PartialText] = {}
         self._seen_item_ids: set[str] = set()
@@ -130,12 +132,12 @@
 
     def drop_job(self, job_id: str) -> list[OpenItem]:
         """Removes and returns the items of an ended job; the caller stops their runs."""
-        dropped = [item for key, item in self.items.items() if key[0] == job_id]
-        for open_item in dropped:
+        removed = [item for key, item in self.items.items() if key[0] == job_id]
+        for open_item in removed:
             del self.items[open_item.key]
             if open_item.partial.parts and self._switches.kept_texts:
                 self._retain_text(open_item)
-        return dropped
+        return removed
 
     def _retain_text(self, open_item: OpenItem) -> None:
         """Retains the partial text for a later job that reuses the item."""
@@ -162,7 +164,7 @@
         }
 
     def models_of(self, sampler_id: str) -> SamplerModels:
-        """Returns the known model versions of a sampler, created on first use."""
+        """Returns the known model versions of a sampler; the entry is created on first use."""
         return self.models.setdefault(sampler_id, SamplerModels())
 
     def share_out(self, service: str, models: list[str]) -> dict[str, str]:
@@ -232,9 +234,9 @@
         items.sort(key=lambda item: (not item.reused, item.step, -item.expected_tokens))
         return items
 
-    def plan_starts(self, now: float, models: list[str]) -> list[StartRun]:
+    def plan_starts(self, now: float, models: list[str]) -> list[PlannedRun]:
         """Selects runs to start now and counts them as running."""
-        starts: list[StartRun] = []
+        starts: list[PlannedRun] = []
         for model in models:
             for open_item in self.waiting_items(model):
                 if now < open_item.not_before:
@@ -245,14 +247,14 @@
                 starts.append(self._start(open_item, sampler.entry.sampler_id, now))
         return starts
 
-    def _start(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
+    def _start(self, open_item: OpenItem, sampler_id: str, now: float) -> PlannedRun:
         open_item.run = ItemRun(sampler_id, now, now)
         stats = self.pace(sampler_id)
         stats.running += 1
         open_item.run.tokens = open_item.estimated_tokens
         stats.tokens += open_item.run.tokens
         stats.groups.add(open_item.item.group)
-        return StartRun(open_item, sampler_id, open_item.run)
+        return PlannedRun(open_item, sampler_id, open_item.run)
 
     def _best_sampler(self, open_item: OpenItem, now: float) -> SamplerBelief | None:
         candidates = [
@@ -298,7 +300,7 @@
         return (sampler.entry.sampler_id == open_item.avoid_sampler_id, cost)
 
     def unresponsive_runs(self, now: float) -> list[OpenItem]:
-        """Returns runs without an event within the timeout and marks their samplers as failed."""
+        """Returns runs that exceeded the event timeout and marks their samplers as failed."""
         unresponsive: list[OpenItem] = []
         for open_item in self.items.values():
             run = open_item.run
@@ -312,7 +314,7 @@
         return unresponsive
 
     def slow_runs(self, now: float) -> list[OpenItem]:
-        """Returns runs that would finish sooner elsewhere, longest remaining output first."""
+        """Returns runs that would finish sooner on another sampler, most remaining events first."""
         slow = [
             open_item
             for open_item in self.items.values()
@@ -351,16 +353,16 @@
         )
         return sampler_id if is_worthwhile else None
 
-    def start_at(self, open_item: OpenItem, sampler_id: str, now: float) -> StartRun:
+    def start_at(self, open_item: OpenItem, sampler_id: str, now: float) -> PlannedRun:
         """Starts an item on a given sampler and counts it as running."""
         return self._start(open_item, sampler_id, now)
 
     def runs_to_evacuate(
         self, sampler_id: str, model: str, now: float, reserved_slots: int = 0
     ) -> list[OpenItem] | None:
-        """Returns the runs of a model on a sampler if others have slots for all, else None.
+        """Returns the runs of a model on a sampler if others have free slots for all, else None.
 
-        `reserved_slots` of the free slots are reserved for other runs.
+        `reserved_slots` is the number of free slots that are reserved for other runs.
         """
         runs = [
             item
@@ -404,7 +406,7 @@
         run.events += 1
         run.last_event_at = now
 
-    def run_ended(self, open_item: OpenItem, avoid: bool = False) -> None:
+    def end_run(self, open_item: OpenItem, avoid: bool = False) -> None:
         """Ends a run; with `avoid` the item prefers any other sampler for its next run."""
         run = open_item.run
         if run is None:
--- a/stileloom/jobs/service.py
+++ b/stileloom/jobs/service.py
@@ -1,4 +1,4 @@
-"""Job service of a ledger node: the leader serves calls, other nodes redirect to it."""
+"""Job service of a ledger node: the leader handles calls, other nodes redirect callers to it."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 )
 
 
-class ServedLedger(LeaderLedger, Protocol):
+class JobServiceLedger(LeaderLedger, Protocol):
     """Ledger interface of this service."""
 
     @property
@@ -50,14 +50,14 @@
         """The replicated state machine."""
 
     def leader_address(self) -> tuple[str, int] | None:
-        """Returns the address of the leader, if already_known."""
+        """Returns the address of the leader, if known."""
 
 
 class JobService:
     """Handles job and quarantine calls of gateways."""
 
     def __init__(
-        self, ledger: ServedLedger, quarantine: QuarantineAuthority, log: EventLog
+        self, ledger: JobServiceLedger, quarantine: QuarantineAuthority, log: EventLog
     ) -> None:
         self.runner: JobRunner | None = None
         """Set while this node is the leader."""
@@ -77,9 +77,9 @@
             return self._read_item(request)
         if isinstance(request, EndJobCall):
             return await self._end(request)
-        return await self._quarantine_call(request)
+        return await self._handle_quarantine_call(request)
 
-    async def _quarantine_call(self, request: QuarantineRequest) -> JobReply:
+    async def _handle_quarantine_call(self, request: QuarantineRequest) -> JobReply:
         authority = self._quarantine
         try:
             if isinstance(request, ReportSuspectsCall):
@@ -92,8 +92,8 @@
                 return TrialAnswered(await authority.start_trial(request.identity))
             return SuspectReleased(await authority.release(request.identity))
         except StileloomError:
-            # Leadership was lost and the caller retries, which is safe: if a granted trial's answer
-            # was lost, the retry is rejected and the trial does not run.
+            # Leadership was lost. The caller can safely retry: if a trial was already granted, the
+            # retry is rejected and the trial does not run.
             return OutcomeUnknown()
 
     def _not_leader(self) -> NotLeader:
@@ -133,7 +133,7 @@
                 break
             try:
                 async with asyncio.timeout(remaining_s):
-                    await self.runner.results_wait(request.job_id)
+                    await self.runner.wait_for_results(request.job_id)
             except TimeoutError:
                 break
             job = self._job(request.job_id)
--- a/stileloom/jobs/suspect_items.py
+++ b/stileloom/jobs/suspect_items.py
@@ -1,4 +1,4 @@
-"""Isolates batch items that are suspected to crash samplers, and reports their runs."""
+"""Isolates batch items that are suspected of crashing samplers, and reports their outcomes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from stileloom.quarantine.identity import identity_of
 
 ISOLATION_RETRY_S = 0.1
-"""Delay before a suspect is retried whose sampler runs another suspect."""
+"""Delay before a suspect is retried if its sampler runs another suspect."""
 QUARANTINE_CHECK_INTERVAL_S = 0.5
 """Delay before the quarantine of an item is checked again."""
 
@@ -43,8 +43,8 @@
     def may_start(self, open_item: OpenItem, sampler_id: str) -> bool:
         """Whether a planned run may start; it is postponed otherwise.
 
-        A sampler runs at most one suspect at a time. Otherwise an item that crashes samplers would
-        repeatedly affect the other items of its step, and all of them would be quarantined.
+        A sampler runs at most one suspect at a time. Otherwise each crash would count against all
+        suspects on the sampler, and items that cause no crash would be quarantined too.
         """
         view = self._guard.view
         if view.empty:
@@ -87,9 +87,9 @@
         await self._guard.judge(open_item.item.item_id, identity, entry, run_duration_s)
 
     def _reserve_sampler(self, suspect: OpenItem, sampler_id: str) -> bool:
-        """Reserves a sampler for a suspect unless another one runs there."""
-        occupant = self._scheduler.items.get(self._suspect_by_sampler.get(sampler_id, suspect.key))
-        run = occupant.run if occupant is not None and occupant is not suspect else None
+        """Reserves a sampler for a suspect, unless another suspect runs there."""
+        current = self._scheduler.items.get(self._suspect_by_sampler.get(sampler_id, suspect.key))
+        run = current.run if current is not None and current is not suspect else None
         if run is not None and run.sampler_id == sampler_id:
             return False
         self._suspect_by_sampler[sampler_id] = suspect.key
@@ -114,5 +114,5 @@
         )
 
     def _postpone(self, open_item: OpenItem, delay_s: float, avoid: bool) -> None:
-        self._scheduler.run_ended(open_item, avoid=avoid)
+        self._scheduler.end_run(open_item, avoid=avoid)
         open_item.not_before = steady_time() + delay_s
--- a/stileloom/jobs/version_planner.py
+++ b/stileloom/jobs/version_planner.py
@@ -1,9 +1,9 @@
 """Decides which sampler loads which weight version next. Performs no I/O and reads no clock.
 
-A sampler cannot generate while it loads, so a load waits until its runs have ended or can be
-moved; items of a step may still run on the previous version. A load is due immediately if
-waiting items require the newer version. `loads_at_once` limits how many samplers of a service
-load concurrently, since they share bandwidth and the others have to continue the work.
+A sampler cannot generate while it loads. Jobs may accept the previous version, so a load is
+delayed until the sampler's runs have ended or can be moved to other samplers. It is ordered at
+once if waiting items require the newer version. Only some samplers of a service load at a time,
+because they share bandwidth and the others have to continue running items.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 """Maximum fraction of a service's samplers that load concurrently."""
 MIN_CONCURRENT_LOADS = 2
 SETTLE_S = 0.4
-"""Delay after a version is announced, for the items of its step to arrive and start."""
+"""Delay of loads after an announcement, so that items of its step can arrive and start first."""
 MAX_EVACUATED_SLOT_SHARE = 0.4
-"""Maximum fraction of slots in use at which a sampler's runs are moved to allow a load."""
+"""A sampler's runs are moved before a load if they use at most this fraction of its slots."""
 
 
 def loads_at_once(samplers: int) -> int:
@@ -67,7 +67,7 @@
         self._not_before[sampler_id] = until
 
     def plan(
-        self, now: float, service: str, models: list[str], single_version: set[str]
+        self, now: float, service: str, models: list[str], single_version_models: set[str]
     ) -> list[Load]:
         """Selects loads to order now and marks their samplers as loading."""
         samplers = self._samplers.of_service(service)
@@ -78,8 +78,8 @@
         )
         candidates: list[tuple[int, int, Load]] = []
         for model in models:
-            candidates += self._candidates(now, service, model, model in single_version)
-        candidates.sort(key=lambda row: (row[0], row[1], row[2].sampler_id))
+            candidates += self._candidates(now, service, model, model in single_version_models)
+        candidates.sort(key=lambda entry: (entry[0], entry[1], entry[2].sampler_id))
         chosen: list[Load] = []
         reserved_slots = 0
         for _, _, load in candidates:
@@ -105,10 +105,11 @@
     def _candidates(
         self, now: float, service: str, model: str, single_version: bool
     ) -> list[tuple[int, int, Load]]:
+        """Returns possible loads, each with its rank and the number of runs on its sampler."""
         target = self.targets.get(model, 0)
         waiting = self._scheduler.waiting_items(model)
         required_version = max((item.min_version for item in waiting), default=0)
-        rows: list[tuple[int, int, Load]] = []
+        candidates: list[tuple[int, int, Load]] = []
         for sampler in self._samplers.of_service(service):
             sampler_id = sampler.entry.sampler_id
             models = self._scheduler.models_of(sampler_id)
@@ -119,7 +120,7 @@
                 continue
             if now < self._not_before.get(sampler_id, 0.0) or sampler.suspect_until > now:
                 continue
-            load = self._load(
+            load = self._plan_load(
                 now, sampler, model, target, version < required_version, bool(waiting)
             )
             if load is not None:
@@ -127,10 +128,10 @@
                 running = self._scheduler.running_on(sampler_id, model)
                 if load.strategy is LoadStrategy.RETAIN and single_version:
                     load = msgspec.structs.replace(load, strategy=LoadStrategy.WAIT)
-                rows.append((rank, running, load))
-        return rows
+                candidates.append((rank, running, load))
+        return candidates
 
-    def _load(
+    def _plan_load(
         self,
         now: float,
         sampler: SamplerBelief,
--- a/stileloom/jobs/weight_loader.py
+++ b/stileloom/jobs/weight_loader.py
@@ -1,4 +1,4 @@
-"""Executes planned weight loads: reads a report, sends a fenced order, polls for the version."""
+"""Executes planned weight loads: reads a report, sends a fenced order, polls until it is loaded."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
             self._metrics.sampler_version.labels(sampler_id, model).set(models.versions[model])
 
     def forget_sampler(self, sampler_id: str) -> None:
-        """Removes the metrics of a sampler that is leaving or gone."""
+        """Removes the metrics of a sampler that is draining or gone."""
         for model in self._scheduler.models_of(sampler_id).versions:
             self._metrics.sampler_version.remove(sampler_id, model)
 
@@ -67,7 +67,7 @@
         """Executes a load; the sampler is marked as loading until this returns."""
         models = self._scheduler.models_of(load.sampler_id)
         try:
-            outcome = await self._order(load)
+            outcome = await self._send_order(load)
             self._metrics.orders.labels(outcome.value).inc()
             if outcome is OrderOutcome.ACCEPTED:
                 await asyncio.sleep(FIRST_REPORT_DELAY_S)
@@ -76,7 +76,7 @@
         finally:
             models.loading = None
 
-    async def _order(self, load: Load) -> OrderOutcome:
+    async def _send_order(self, load: Load) -> OrderOutcome:
         sampler = self._samplers.get(load.sampler_id)
         if sampler is None:
             return OrderOutcome.GONE
@@ -120,7 +120,7 @@
         return outcome
 
     async def _await_version(self, load: Load) -> None:
-        """Polls reports until the version is loaded or the sampler is idle."""
+        """Polls reports until the version is loaded, the sampler is idle, or a timeout expires."""
         deadline = steady_time() + LOAD_TIMEOUT_S
         idle_reports = 0
         while steady_time() < deadline:
--- a/stileloom/weights/roles.py
+++ b/stileloom/weights/roles.py
@@ -9,7 +9,7 @@
 import msgspec
 
 LEND_DELAY_S = 20.0
-"""Time for which demand must stay low before a sampler is lent; returns are not delayed."""
+"""Time for which demand must stay low before a sampler is lent. Returns are not delayed."""
 MIN_RETURN_INTERVAL_S = 1.0
 SMOOTHING_TIME_S = 5.0
 
@@ -20,6 +20,7 @@
     samplers: list[str]
     """Usable samplers; the last ones are lent first."""
     keep_home: int
+    """Minimum number of samplers that are not lent."""
     running: int
     """Lookups running or waiting on samplers that are not lent."""
     lend_below: float
--- a/stileloom/weights/swap.py
+++ b/stileloom/weights/swap.py
@@ -1,8 +1,8 @@
 """Weight swaps: plans fenced load orders and their sources.
 
-The weight store is rate-limited, so in each zone only one sampler at a time loads from it. The
-others load from samplers of their zone that already hold the version, which forms a
-distribution tree.
+The weight store is rate-limited. In each zone only one sampler loads a version from it; the
+others load from samplers of the zone that already hold the version, which forms a distribution
+tree.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from stileloom.samplers.table import SamplerView
 
 MAX_LOADS_PER_HOLDER = 2
-ORDER_LOST_TIMEOUT_S = 10.0
-"""Time after which an order is repeated if its load is neither finished nor in progress."""
+ORDER_TIMEOUT_S = 10.0
+"""Time after which a load that has not finished is ordered again and frees its source."""
 
 
 class SwapStyle(enum.Enum):
@@ -75,16 +75,22 @@
             if target is None or not self._needs_order(now, view, target, style):
                 continue
             if target != final:
-                orders.append((view.sampler_id, self._order(now, view.sampler_id, target, "")))
+                orders.append(
+                    (view.sampler_id, self._issue_order(now, view.sampler_id, target, ""))
+                )
                 continue
             source = self._choose_source(now, view, target, samplers, loading_from)
             if source is None:
                 continue
             loading_from[source] = loading_from.get(source, 0) + 1
-            orders.append((view.sampler_id, self._order(now, view.sampler_id, target, source)))
+            orders.append(
+                (view.sampler_id, self._issue_order(now, view.sampler_id, target, source))
+            )
         return orders
 
-    def _order(self, now: float, sampler_id: str, target: SwapTarget, source: str) -> EngineOrder:
+    def _issue_order(
+        self, now: float, sampler_id: str, target: SwapTarget, source: str
+    ) -> EngineOrder:
         token = FencingToken(self._epoch, next(self._sequence))
         self._sent_orders[sampler_id] = _SentOrder(target, token, now, source)
         address = "" if source.startswith("store/") else source
@@ -107,13 +113,13 @@
             if not acknowledged:
                 return elapsed_s >= constants.ORDER_RETRY_S
             if load.state is EngineState.LOADING:
-                return elapsed_s >= ORDER_LOST_TIMEOUT_S
-            if load.state is EngineState.SERVING and elapsed_s < ORDER_LOST_TIMEOUT_S:
+                return elapsed_s >= ORDER_TIMEOUT_S
+            if load.state is EngineState.SERVING and elapsed_s < ORDER_TIMEOUT_S:
                 return (
                     load.weight_version != target.version and elapsed_s >= constants.ORDER_RETRY_S
                 )
-        role_only = (load.model, load.weight_version) == (target.model, target.version)
-        if load.state is EngineState.UNKNOWN_VERSION or role_only:
+        only_role_differs = (load.model, load.weight_version) == (target.model, target.version)
+        if load.state is EngineState.UNKNOWN_VERSION or only_role_differs:
             return True
         return style is SwapStyle.IN_FLIGHT or view.running == 0
 
@@ -126,7 +132,7 @@
             target = targets.get(view.sampler_id)
             if sent_order is None or target is None or sent_order.target != target:
                 continue
-            if not holds(view, target) and now < sent_order.sent_at + ORDER_LOST_TIMEOUT_S:
+            if not holds(view, target) and now < sent_order.sent_at + ORDER_TIMEOUT_S:
                 counts[sent_order.source] = counts.get(sent_order.source, 0) + 1
         return counts
 
@@ -138,7 +144,7 @@
         samplers: list[SamplerView],
         loading_from: dict[str, int],
     ) -> str | None:
-        """Returns the address of a holder with free capacity, the weight store, or None to wait."""
+        """Returns the address of a free holder, or the weight store, or None to wait."""
         zone = view.machine.zone
         holders = [
             other
--- a/tests/test_item_scheduler.py
+++ b/tests/test_item_scheduler.py
@@ -116,7 +116,7 @@
         self.assertEqual([item], desk.scheduler.slow_runs(now))
         faster = desk.scheduler.faster_sampler(item, now)
         self.assertNotIn(faster, (None, sampler))
-        desk.scheduler.run_ended(item)
+        desk.scheduler.end_run(item)
         desk.scheduler.start_at(item, str(faster), now)
         self.assertEqual(1, desk.scheduler.pace(str(faster)).running)
 
@@ -144,7 +144,7 @@
                 desk.scheduler.record_event(item, number * 0.3)
         now = 19 * 0.3
         first, second = desk.scheduler.slow_runs(now)
-        desk.scheduler.run_ended(first, avoid=True)
+        desk.scheduler.end_run(first, avoid=True)
         desk.scheduler.start_at(first, "b", now)
         self.assertIsNone(desk.scheduler.faster_sampler(second, now))
 
@@ -170,7 +170,7 @@
         desk.adopt(record("j", 1))
         (first,) = desk.starts().values()
         (item,) = desk.scheduler.items.values()
-        desk.scheduler.run_ended(item, avoid=True)
+        desk.scheduler.end_run(item, avoid=True)
         desk.scheduler.pace(first).interval_s = 0.001
         self.assertNotEqual([first], list(desk.starts().values()))
 
@@ -270,7 +270,7 @@
         placed = desk.starts()
         for key, open_item in list(desk.scheduler.items.items()):
             if placed[key[1]] in "abcd" and desk.scheduler.running_on(placed[key[1]], "m") > 2:
-                desk.scheduler.run_ended(open_item)
+                desk.scheduler.end_run(open_item)
                 open_item.finished = True
         desk.planner.named("m", 2, 0.0)
         evacuated = [load[3] for load in desk.loads(SETTLE_S + 0.1)]
