--- a/tests/test_item_scheduler.py
+++ b/tests/test_item_scheduler.py
@@ -18,6 +18,7 @@
 
 SERVICE = "engines"
 LATER = 100.0
+"""A time after all delays."""
 
 
 def entry(name: str, slots: int = 2, versions: dict[str, int] | None = None) -> SamplerEntry:
@@ -86,18 +87,18 @@
         desk.scheduler.models_of("a").saw("m", 2)
         self.assertEqual({"j-i0": "a"}, desk.starts())
 
-    def test_longest_first(self) -> None:
+    def test_the_longest_item_starts_first(self) -> None:
         desk = Desk(entry("a", slots=1))
         desk.adopt(record("j", 2), sizes={"j-i1": ItemSize(9000.0)})
         self.assertEqual({"j-i1": "a"}, desk.starts())
 
-    def test_a_sampler_without_free_cache_gets_no_more_runs(self) -> None:
+    def test_a_sampler_with_a_full_cache_gets_no_more_runs(self) -> None:
         desk = Desk(entry("a", slots=8))
         desk.scheduler.cache_tokens[SERVICE] = 500
         desk.adopt(record("j", 3), sizes={f"j-i{n}": ItemSize(400.0, 50.0) for n in range(3)})
         self.assertEqual(2, len(desk.starts()))
 
-    def test_an_unresponsive_run_moves(self) -> None:
+    def test_a_run_without_events_becomes_unresponsive(self) -> None:
         desk = Desk(entry("a"))
         desk.adopt(record("j", 1))
         desk.starts()
@@ -247,7 +248,7 @@
 class VersionPlannerTest(testtools.TestCase):
     """Planned weight loads."""
 
-    def test_idle_samplers_load_a_few_at_a_time_once_the_step_has_started(self) -> None:
+    def test_idle_samplers_load_a_few_at_a_time_after_a_delay(self) -> None:
         desk = Desk(*(entry(name) for name in "abc"))
         desk.planner.named("m", 2, 0.0)
         self.assertEqual([], desk.loads(SETTLE_S / 2))
@@ -257,7 +258,7 @@
         self.assertEqual([], desk.loads(SETTLE_S + 0.2))
 
     def test_of_many_samplers_more_load_together(self) -> None:
-        """Guards against large services that load more slowly than versions are announced."""
+        """Guards against loads that fall behind the announced versions in a large service."""
         self.assertEqual([2, 2, 2, 10], [loads_at_once(count) for count in (1, 5, 6, 25)])
         desk = Desk(*(entry(f"s{number:02}") for number in range(24)))
         desk.planner.named("m", 2, 0.0)
@@ -283,7 +284,7 @@
         desk.planner.named("m", 2, 0.0)
         self.assertEqual([], desk.loads(LATER))
 
-    def test_a_version_that_waiting_items_require_is_loaded_beside_running_items(self) -> None:
+    def test_a_version_that_waiting_items_require_is_loaded_while_others_run(self) -> None:
         desk = Desk(entry("a"))
         desk.adopt(record("j", 1))
         desk.starts()
--- a/tests/test_job_book.py
+++ b/tests/test_job_book.py
@@ -42,14 +42,14 @@
     @rule(job_id=st.sampled_from(JOBS), same_reward=st.booleans())
     def submit(self, job_id: str, same_reward: bool) -> None:
         """Submits a job; a repeat must change nothing."""
-        tag = "" if same_reward else job_id
+        reward_suffix = "" if same_reward else job_id
         items = [
-            JobItem(item, "/p", {}, b"", "g", RewardCall(f"s{tag}{item}", "h", "/s", b""))
+            JobItem(item, "/p", {}, b"", "g", RewardCall(f"s{reward_suffix}{item}", "h", "/s", b""))
             for item in ITEMS
         ]
         submission = JobSubmission(job_id, "h", "/p", 0, "m", MIN_VERSIONS[job_id], 1, items)
-        taken = self.registry.submit(submission)
-        assert taken == (job_id not in self.listed)
+        added = self.registry.submit(submission)
+        assert added == (job_id not in self.listed)
         self.listed.setdefault(job_id, [])
 
     @rule(
@@ -59,7 +59,7 @@
         count=st.integers(1, 4),
     )
     def save(self, job_id: str, item_id: str, first: int, count: int) -> None:
-        """Saves events that extend or repeat the saved ones."""
+        """Saves events that follow or overlap the saved ones."""
         first = min(first, self.saved.get((job_id, item_id), 0))
         parts = complete_text(item_id)[first : first + count]
         end = first + len(parts)
@@ -101,7 +101,7 @@
 
     @invariant()
     def complete_texts_are_recorded_as_complete(self) -> None:
-        """Saved progress records whether the text is complete, so that it is not run again."""
+        """Saved progress records whether a text is complete; its item then does not run again."""
         for (job_id, item_id), end in self.saved.items():
             partial = self.registry.jobs[job_id].progress[item_id]
             assert partial.parts == complete_text(item_id)[:end]
--- a/tests/test_job_client.py
+++ b/tests/test_job_client.py
@@ -1,4 +1,4 @@
-"""Job client: choice of ledger nodes, retries, and outcomes of unanswered calls."""
+"""Job client: choice of ledger nodes, retries, outcomes of unanswered calls, and framing."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         return {nodes.next_target() for _ in range(count)}
 
     def test_a_seed_that_is_not_listed_is_no_longer_used(self) -> None:
-        """Guards against delays at start because of decommissioned machines."""
+        """Guards against delays at start from attempts to reach decommissioned machines."""
         gone, listed, new = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
         nodes = LedgerNodes([gone, listed])
         self.assertEqual({gone, listed}, self.targets(nodes, 6))
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -1,4 +1,4 @@
-"""Result cache of a gateway, and compression of bodies between nodes."""
+"""Result cache of a gateway, and compression and framing of calls between nodes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakeLeader:
-    """A fake leader that has listed some results."""
+    """A fake leader of a job with `listed` results."""
 
     def __init__(self, listed: int) -> None:
         self.listed = listed
@@ -44,7 +44,7 @@
         assert isinstance(request, ReadResultsCall)
         self.calls.append(request)
         if not self.reachable:
-            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "away")
+            raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "leader unreachable")
         if not self.job_exists:
             return NoSuchJob()
         return ResultsRead(page(request.position, max(request.position, self.listed)))
@@ -68,8 +68,8 @@
         self.leader.listed = 6
         self.assertEqual(ResultsRead(page(1, 6)), self.read(1))
         self.assertEqual(ResultsRead(page(0, 6)), self.read(0))
-        asked = [(call.position, call.wait_s) for call in self.leader.calls]
-        self.assertEqual([(0, 1.0), (4, 0.0), (6, 0.0)], asked)
+        requested = [(call.position, call.wait_s) for call in self.leader.calls]
+        self.assertEqual([(0, 1.0), (4, 0.0), (6, 0.0)], requested)
 
     def test_all_results_are_read_again_without_a_call(self) -> None:
         self.leader.listed = TOTAL
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -200,7 +200,7 @@
             for result in known:
                 self.assertIn(result, results)
             self.assertEqual(5, len(runs_at(cluster, DRAFTERS)), "an item ran again")
-            self.assertEqual(5, len(runs_at(cluster, SCORERS)), "a reward was asked again")
+            self.assertEqual(5, len(runs_at(cluster, SCORERS)), "a reward call was repeated")
 
         with_cluster(scenario)
 
@@ -213,10 +213,10 @@
             assert node._leadership is not None
             rewards = node._leadership.runner._rewards
             await cluster.until(lambda: len(rewards) == 1)
-            moved = configuration(3, backends=[{"service": "spare", "weight": 1}])
-            moved["services"].append({"name": "spare", "max_connections": 9})
+            changed = configuration(3, backends=[{"service": "spare", "weight": 1}])
+            changed["services"].append({"name": "spare", "max_connections": 9})
             await cluster.add_sampler("spare-1", "spare")
-            await cluster.write("configuration", "main", moved)
+            await cluster.write("configuration", "main", changed)
             ((item, state, _, _, score),) = await cluster.results("job", 1)
             self.assertEqual(("i1", "succeeded"), (item, state))
             self.assertEqual("spare-1/score-i1", score)
@@ -236,12 +236,12 @@
                     raise faults.pop()
                 return await forward(*arguments)
 
-            def note(event: LogEvent, fields: dict[str, object]) -> None:
+            def record_event(event: LogEvent, fields: dict[str, object]) -> None:
                 events.append(event)
 
             with (
                 mock.patch.object(leader._forwarder, "forward", failing),
-                mock.patch.object(leader._log, "emit", note),
+                mock.patch.object(leader._log, "emit", record_event),
             ):
                 await cluster.submit("job", ["i1"], rewards=True)
                 self.check_scores(await cluster.results("job", 1))
@@ -249,7 +249,7 @@
 
         with_cluster(scenario)
 
-    def test_calls_leave_slots_of_the_service_to_lookups(self) -> None:
+    def test_reward_calls_leave_slots_for_lookups(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
             gauge = WorkGauge()
             for sampler in samplers(cluster, SCORERS):
@@ -302,16 +302,16 @@
 
 
 class RewardWindowTest(testtools.TestCase):
-    """Concurrency limit of the reward calls of one service."""
+    """Concurrency limit of reward calls to one service."""
 
     def test_it_increases_with_answers_and_halves_on_overload(self) -> None:
         window = RewardWindow()
         for _ in range(100):
             window.record_answer()
-        risen = window.limit
-        self.assertGreater(risen, INITIAL_LIMIT)
+        raised_limit = window.limit
+        self.assertGreater(raised_limit, INITIAL_LIMIT)
         window.record_overload(10.0)
-        self.assertEqual(risen / 2, window.limit)
+        self.assertEqual(raised_limit / 2, window.limit)
         self.assertFalse(window.may_start(10.0, 1000))
         self.assertTrue(window.may_start(10.0 + INITIAL_BACKOFF_S, 1000))
 
@@ -344,18 +344,18 @@
         book.submit(self.submission("j"))
         book.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
         self.assertTrue(book.jobs["j"].progress["i1"].whole)
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "stamp")])
+        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "0.7")])
         (result,) = book.jobs["j"].results
-        self.assertEqual(("a\nb", [3], "stamp"), (result.text, result.versions, result.score))
+        self.assertEqual(("a\nb", [3], "0.7"), (result.text, result.versions, result.score))
 
     def test_a_result_is_reused_only_for_the_same_reward_call(self) -> None:
         book = JobBook()
         book.submit(self.submission("j"))
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "stamp")])
+        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "0.7")])
         book.submit(self.submission("same"))
         book.submit(self.submission("other", reward_id="s2"))
         (found,) = reusable_results(book, book.jobs["same"], False)
-        self.assertEqual("stamp", found.score)
+        self.assertEqual("0.7", found.score)
         self.assertEqual([], reusable_results(book, book.jobs["other"], False))
 
     def test_an_item_that_would_split_a_request_head_is_refused(self) -> None:
@@ -381,7 +381,7 @@
 
 
 class TraceTest(testtools.TestCase):
-    """Log lines of an item include those of its reward call."""
+    """Trace of an item."""
 
     def test_the_trace_of_an_item_includes_its_reward_call(self) -> None:
         lines = [
@@ -389,7 +389,7 @@
             {"event": "attempt_failed", "request": "s1", "sampler": "x"},
             {"event": "request_answered", "request": "s2", "sampler": "x"},
         ]
-        stamp = {"timestamp": "2026-01-01T00:00:00+00:00", "node": "n"}
-        text = [msgspec.json.encode(stamp | line).decode() for line in lines]
+        common = {"timestamp": "2026-01-01T00:00:00+00:00", "node": "n"}
+        text = [msgspec.json.encode(common | line).decode() for line in lines]
         events = [line.event for line in gather("i1", text).lines]
         self.assertEqual(["reward_asked", "attempt_failed"], events)
