--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -76,11 +76,11 @@
         self,
         nodes: LedgerNodes,
         log: EventLog,
-        on_lost_leader: Callable[[], None],
+        on_node_failure: Callable[[], None],
     ) -> None:
         self._nodes = nodes
         self._log = log
-        self._on_lost_leader = on_lost_leader
+        self._on_node_failure = on_node_failure
         self._connections = CallConnections()
         self._unresponsive: set[tuple[str, int]] = set()
 
@@ -141,7 +141,7 @@
         if self._nodes.leader == target:
             self._nodes.leader = None
         self._nodes.record_failure()
-        self._on_lost_leader()
+        self._on_node_failure()
         already_logged = target in self._unresponsive
         self._unresponsive.add(target)
         if already_logged and not request_id:
--- a/stileloom/jobs/open_items.py
+++ b/stileloom/jobs/open_items.py
@@ -96,3 +96,4 @@
     """Estimated cache tokens of its runs."""
     refused_until: float = 0.0
     groups: set[str] = msgspec.field(default_factory=set)
+    """Groups whose prompt the sampler has already processed."""
--- a/stileloom/jobs/reward_caller.py
+++ b/stileloom/jobs/reward_caller.py
@@ -52,7 +52,9 @@
     call: RewardCall
     completed_at: float
     failures: int = 0
+    """Number of failed attempts."""
     tries: int = 0
+    """Number of times the call was forwarded, each with one or more attempts."""
     not_before: float = 0.0
     task: asyncio.Task[None] | None = None
 
@@ -128,8 +130,8 @@
                 continue
             window.running += 1
             pending.tries += 1
-            work = self._call(pending, route, service, window)
-            pending.task = asyncio.get_running_loop().create_task(work)
+            call = self._call(pending, route, service, window)
+            pending.task = asyncio.get_running_loop().create_task(call)
             pending.task.add_done_callback(partial(self._on_task_done, pending))
 
     def _total_slots(self, service: str) -> int:
--- a/stileloom/jobs/runner.py
+++ b/stileloom/jobs/runner.py
@@ -50,7 +50,7 @@
 DEADLINE_MARGIN_S = 2.0
 """Time after the maximum wait of its route at which an item is given up."""
 MAX_REJECTIONS = 1
-SAVE_INTERVAL_S = 0.25
+PROGRESS_SAVE_PERIOD_S = 0.25
 EVENT_INTERVAL_SAVE_PERIOD_S = 2.0
 """Period at which the measured event intervals of samplers are saved for the next leader."""
 START_DELAY_S = 0.2
@@ -99,8 +99,9 @@
         self._pool = ConnectionPool()
         self._connections: dict[tuple[str, str], SamplerConnection] = {}
         self._adopted_at: dict[str, float] = {}
+        """Time of adoption by this leader, by job id."""
         self._stopped = False
-        self._next_save_at = 0.0
+        self._next_progress_save_at = 0.0
         self._next_event_interval_save_at = steady_time() + EVENT_INTERVAL_SAVE_PERIOD_S
         self._version_list_deadline = steady_time() + VERSION_LIST_TIMEOUT_S
         self._starts_allowed_at = steady_time() + START_DELAY_S
@@ -189,8 +190,8 @@
         self._rewards.step(now)
         self._metrics.items_open.set(len(self.scheduler.items))
         self._metrics.items_running.set(len(self._connections))
-        if now >= self._next_save_at:
-            self._next_save_at = now + SAVE_INTERVAL_S
+        if now >= self._next_progress_save_at:
+            self._next_progress_save_at = now + PROGRESS_SAVE_PERIOD_S
             if self._switches.saved_events:
                 self._writer.save_progress()
         if now >= self._next_event_interval_save_at and self._switches.recorded_paces:
--- a/stileloom/jobs/scheduler.py
+++ b/stileloom/jobs/scheduler.py
@@ -60,8 +60,7 @@
     ) -> None:
         self._switches = switches
         self.items: dict[ItemKey, OpenItem] = {}
-        self.models: dict[str, SamplerModels] = {}
-        """Model versions of each sampler, by sampler id."""
+        self._models_by_sampler: dict[str, SamplerModels] = {}
         self.cache_tokens: dict[str, float] = {}
         """KV cache capacity in tokens of each sampler, by service."""
         self._samplers = samplers
@@ -165,7 +164,7 @@
 
     def models_of(self, sampler_id: str) -> SamplerModels:
         """Returns the known model versions of a sampler; the entry is created on first use."""
-        return self.models.setdefault(sampler_id, SamplerModels())
+        return self._models_by_sampler.setdefault(sampler_id, SamplerModels())
 
     def share_out(self, service: str, models: list[str]) -> dict[str, str]:
         """Returns the model assigned to each sampler; empty if every sampler serves all models."""
@@ -420,7 +419,7 @@
 
     def forget_sampler(self, sampler_id: str) -> None:
         """Removes the state of a sampler that is gone."""
-        self.models.pop(sampler_id, None)
+        self._models_by_sampler.pop(sampler_id, None)
         if self.pace(sampler_id).running == 0:
             self._stats.pop(sampler_id, None)
 
--- a/stileloom/weights/roles.py
+++ b/stileloom/weights/roles.py
@@ -9,7 +9,7 @@
 import msgspec
 
 LEND_DELAY_S = 20.0
-"""Time for which demand must stay low before a sampler is lent. Returns are not delayed."""
+"""Time for which demand must stay low before a sampler is lent; it is returned without delay."""
 MIN_RETURN_INTERVAL_S = 1.0
 SMOOTHING_TIME_S = 5.0
 
