--- a/stileloom/jobs/item_stream.py
+++ b/stileloom/jobs/item_stream.py
@@ -88,7 +88,7 @@
             self._finish(RunOutcome.BROKEN, end.value)
         elif self._head.status == 200:
             if self._parser.has_partial or self._partial.last_event_id is None:
-                self._finish(RunOutcome.BROKEN, "ended within an event")
+                self._finish(RunOutcome.BROKEN, "stream ended within an event or without any")
             else:
                 self._finish(RunOutcome.COMPLETE, "")
         else:
