--- a/stileloom/jobs/client.py
+++ b/stileloom/jobs/client.py
@@ -19,7 +19,7 @@
 from stileloom.logging import EventLog
 from stileloom.quarantine.messages import WatchQuarantineCall
 from stileloom.settings_file import split_address
-from stileloom.transport.calls import CallConnections, CallFailed
+from stileloom.transport.calls import CallConnectionPool, CallFailed
 
 CALL_TIMEOUT_S = 1.2
 """Timeout of one attempt."""
@@ -40,7 +40,7 @@
         self._consecutive_failures = 0
         self._round_robin_index = 0
 
-    def learn(self, addresses: list[tuple[str, int]]) -> None:
+    def update_addresses(self, addresses: list[tuple[str, int]]) -> None:
         """Replaces the addresses; those no longer listed remain as fallback."""
         if not addresses:
             return
@@ -81,7 +81,7 @@
         self._nodes = nodes
         self._log = log
         self._on_node_failure = on_node_failure
-        self._connections = CallConnections()
+        self._connections = CallConnectionPool()
         self._unresponsive: set[tuple[str, int]] = set()
 
     async def call(self, request: JobRequest, request_id: str, timeout_s: float) -> JobReply:
--- a/stileloom/jobs/order_window.py
+++ b/stileloom/jobs/order_window.py
@@ -15,10 +15,10 @@
 class OrderWindow:
     """Order windows of one leadership."""
 
-    def __init__(self, node_id: str, ledger: LeaderLedger, needed: bool = True) -> None:
+    def __init__(self, node_id: str, ledger: LeaderLedger, required: bool = True) -> None:
         self._node_id = node_id
         self._ledger = ledger
-        self._closes_at = float("-inf") if needed else float("inf")
+        self._closes_at = float("-inf") if required else float("inf")
         """Infinite if windows are disabled; then only the lease restricts orders."""
 
     def is_open(self) -> bool:
@@ -26,12 +26,12 @@
 
         Checked again before each send, because the process may have been suspended.
         """
-        return self._ledger.may_act() and steady_time() < self._closes_at
+        return self._ledger.is_active_leader() and steady_time() < self._closes_at
 
     async def open(self) -> bool:
         """Opens a new window if too little time remains; returns whether an order may be sent."""
         proposed_at = steady_time()
-        if self._ledger.may_act() and proposed_at < self._closes_at - MIN_REMAINING_S:
+        if self._ledger.is_active_leader() and proposed_at < self._closes_at - MIN_REMAINING_S:
             return True
         try:
             await self._ledger.propose(OpenOrderWindow(self._node_id))
--- a/stileloom/node/core.py
+++ b/stileloom/node/core.py
@@ -35,7 +35,7 @@
 from stileloom.node import dispatch
 from stileloom.node.ownership import Ownership
 from stileloom.node.status import leader_status
-from stileloom.policy import PolicyBook
+from stileloom.policy import PolicyRegistry
 from stileloom.rollout import (
     Controller,
     ControllerView,
@@ -54,8 +54,8 @@
     StatusRequest,
 )
 from stileloom.routing import Gateway, GatewayView, LookupRequest
-from stileloom.routing.messages import ClaimWanted, Explanation, ReleaseWanted
-from stileloom.samplers import CommitWanted, SamplerOwner
+from stileloom.routing.messages import ClaimIdempotencyKey, Explanation, ReleaseIdempotencyKey
+from stileloom.samplers import CommitSampleRequest, SamplerOwner
 from stileloom.samplers.messages import (
     GenerationInterrupted,
     GenerationKey,
@@ -68,13 +68,13 @@
 
 
 class DeliveryFinished(msgspec.Struct, frozen=True):
-    """Response to `read_deliveries`."""
+    """Response to `request_deliveries`."""
 
     answer: DeliveryAnswer
 
 
 class StatusFinished(msgspec.Struct, frozen=True):
-    """Response to `ask_status`."""
+    """Response to `request_status`."""
 
     status: LeaderStatus
 
@@ -115,9 +115,9 @@
         now: float,
         replica: LedgerReplica | None = None,
         scheduler: SchedulerKind = SchedulerKind.DEFAULT,
-        without: frozenset[Mechanism] = frozenset(),
+        disabled_mechanisms: frozenset[Mechanism] = frozenset(),
     ) -> None:
-        """`without` disables mechanisms of the default scheduler, for benchmarks."""
+        """`disabled_mechanisms` are left out of the default scheduler, for benchmarks."""
         self.node_id = local_member.node_id
         self.zone = local_member.zone
         self.membership = Membership(local_member, seeds, rng)
@@ -131,11 +131,11 @@
         self.ownership = Ownership(self.membership, self.table)
         self.controller: Controller | None = None
         self.authority: ConfigurationAuthority | None = None
-        self.policies = PolicyBook({})
+        self.policies = PolicyRegistry({})
         self.draining = False
         self.wall_time_s = 0.0
         self._scheduler_kind = scheduler
-        self._without = without
+        self._disabled_mechanisms = disabled_mechanisms
         # Shared by successive controllers: a leader lease can expire and be renewed in one epoch.
         self._controller_sequence = itertools.count(1)
         self._internal_tickets: dict[int, _CommitTicket | _ClaimTicket | None] = {}
@@ -178,7 +178,7 @@
         effects += self.membership.tick(now)
         effects += self.client.tick(now)
         effects += self._tick_replica(now)
-        contact = leader if leader is not None else self.tracker.ask(now)
+        contact = leader if leader is not None else self.tracker.next_target(now)
         effects += self.configuration.tick(now, self.ownership.readers(), contact)
         self._tick_ownership(now)
         effects += self.owner.tick(now, leader, self.ownership.gateways_by_sampler)
@@ -220,9 +220,9 @@
 
     def _on_configuration_message(self, now: float, sender: str, message: object) -> list[Effect]:
         if isinstance(message, GrantReply):
-            self.tracker.heard(now, sender, message.epoch)
+            self.tracker.update(now, sender, message.epoch)
         if isinstance(message, RenewReply):
-            self.tracker.heard(now, message.leader, message.epoch)
+            self.tracker.update(now, message.leader, message.epoch)
         return self.configuration.handle(now, sender, message)
 
     def _on_ledger_message(self, now: float, sender: str, message: object) -> list[Effect]:
@@ -248,7 +248,7 @@
 
     def _on_leader_hint(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, LeaderHint)
-        self.tracker.heard(now, message.leader, message.epoch)
+        self.tracker.update(now, message.leader, message.epoch)
         return []
 
     def _on_grant_request(self, now: float, sender: str, message: object) -> list[Effect]:
@@ -280,7 +280,7 @@
         assert isinstance(message, DeliveryRequest)
         if self.controller is None or self.replica is None or not self._may_act(now):
             return [Send(sender, DeliveryAnswer(message.ticket, None, not_leader=True))]
-        return self.controller.desk.request(now, sender, message, self.replica.state)
+        return self.controller.pending_reads.add_read(now, sender, message, self.replica.state)
 
     def _on_status_request(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, StatusRequest)
@@ -299,12 +299,12 @@
 
     def _on_drain_sampler(self, now: float, sender: str, message: object) -> list[Effect]:
         assert isinstance(message, DrainSampler)
-        return self.table.mark_leaving(message.sampler_id)
+        return self.table.mark_draining(message.sampler_id)
 
     # Component timers.
 
     def _may_act(self, now: float) -> bool:
-        return self.replica is not None and self.replica.may_act(now)
+        return self.replica is not None and self.replica.is_active_leader(now)
 
     def _admits_rollouts(self, now: float) -> bool:
         return self.configuration.store.lease_valid(now) and not self.draining
@@ -320,9 +320,9 @@
 
     def _tick_ownership(self, now: float) -> None:
         changed = self.ownership.refresh(now, self.configuration.store.configuration)
-        self.owner.set_owned(now, self.ownership.owned)
+        self.owner.set_owned_samplers(now, self.ownership.owned)
         if changed:
-            self.owner.report_soon()
+            self.owner.schedule_report()
 
     def _tick_controller(self, now: float) -> list[Effect]:
         if not self._may_act(now) or self.replica is None:
@@ -339,7 +339,7 @@
         epoch = self.replica.epoch
         if self.controller is not None and self.controller.epoch == epoch:
             return []
-        scheduler = make_scheduler(self._scheduler_kind, self._without)
+        scheduler = make_scheduler(self._scheduler_kind, self._disabled_mechanisms)
         self.controller = Controller(epoch, scheduler, now, self._controller_sequence)
         self.authority = ConfigurationAuthority(epoch, now)
         # Announces the new leader: owners then report their running generations to it.
@@ -367,7 +367,7 @@
             policies=self.policies,
             table=self.table,
             owner_of=self.ownership.owner_of,
-            is_working=self._is_healthy,
+            is_healthy=self._is_healthy,
             wall_time_s=self.wall_time_s,
             admits_rollouts=self.configuration.store.lease_valid(now),
         )
@@ -381,7 +381,7 @@
             subset=self.ownership.subset,
             wall_time_s=self.wall_time_s,
             lease_valid=store.lease_valid(now),
-            lease_age_s=store.time_since_lease_expiry(now),
+            time_since_lease_expiry_s=store.time_since_lease_expiry(now),
         )
 
     # Driver callbacks.
@@ -396,7 +396,7 @@
         self, now: float, configuration: Configuration | None
     ) -> list[Effect]:
         """Completes `FetchConfiguration`; None if there is no newer revision or the API failed."""
-        leader = self.leader(now) or self.tracker.ask(now)
+        leader = self.leader(now) or self.tracker.next_target(now)
         return self._process_effects(
             now, self.configuration.configuration_fetched(now, configuration, leader)
         )
@@ -424,13 +424,13 @@
         return self._process_effects(now, self.gateway.stream_end(now, request_id, end, view))
 
     def stream_failed(
-        self, now: float, request_id: str, surely_not_begun: bool, detail: str
+        self, now: float, request_id: str, never_started: bool, detail: str
     ) -> list[Effect]:
         """Handles a stream that was rejected, truncated or lost."""
         if self.owner.owns_stream(request_id):
             return self._process_effects(now, self.owner.stream_failed(request_id))
         effects = self.gateway.stream_failed(
-            now, request_id, surely_not_begun, detail, self._gateway_view(now)
+            now, request_id, never_started, detail, self._gateway_view(now)
         )
         return self._process_effects(now, effects)
 
@@ -450,7 +450,7 @@
 
     def cancel_lookup(self, now: float, request_id: str) -> list[Effect]:
         """Cancels a lookup whose client disconnected."""
-        return self._process_effects(now, self.gateway.cancelled_by_caller(request_id))
+        return self._process_effects(now, self.gateway.on_caller_disconnected(request_id))
 
     def explain(self, now: float, request: LookupRequest) -> Explanation:
         """Explains how a lookup would be routed. Raises the same errors as its admission."""
@@ -461,19 +461,19 @@
         ticket, effects = self.client.submit(now, command)
         return ticket, self._process_effects(now, effects)
 
-    def read_deliveries(self, now: float, request: DeliveryRequest) -> list[Effect]:
+    def request_deliveries(self, now: float, request: DeliveryRequest) -> list[Effect]:
         """Requests deliveries from the leader.
 
         The caller must retry if no `DeliveryFinished` effect follows.
         """
         return self._ask_leader(now, request)
 
-    def ask_status(self, now: float, ticket: int) -> list[Effect]:
+    def request_status(self, now: float, ticket: int) -> list[Effect]:
         """Requests the leader's status; a `StatusFinished` effect may follow."""
         return self._ask_leader(now, StatusRequest(ticket))
 
     def _ask_leader(self, now: float, message: object) -> list[Effect]:
-        leader = self.leader(now) or self.tracker.ask(now)
+        leader = self.leader(now) or self.tracker.next_target(now)
         return self._process_effects(now, [Send(leader, message)]) if leader is not None else []
 
     def drain(self, now: float) -> list[Effect]:
@@ -530,13 +530,13 @@
             return self._propose(now, effect.command, ticket)
         if isinstance(effect, ProposeHandOver):
             return self._propose(now, effect.command, effect.ticket)
-        if isinstance(effect, CommitWanted):
+        if isinstance(effect, CommitSampleRequest):
             return self._submit_internal(now, effect.command, _CommitTicket(effect.key))
-        if isinstance(effect, ClaimWanted):
+        if isinstance(effect, ClaimIdempotencyKey):
             return self._submit_internal(
                 now, self._claim(effect.request), _ClaimTicket(effect.request.request_id)
             )
-        if isinstance(effect, ReleaseWanted):
+        if isinstance(effect, ReleaseIdempotencyKey):
             request = effect.request
             command = ReleaseKey(request.idempotency_key, request.request_id)
             return self._submit_internal(now, command, None)
@@ -577,7 +577,7 @@
         if isinstance(ticket, _CommitTicket):
             return self.owner.committed(now, ticket.key, effect.result)
         if isinstance(ticket, _ClaimTicket):
-            return self.gateway.claimed(
+            return self.gateway.on_claim_result(
                 now, ticket.request_id, effect.result, self._gateway_view(now)
             )
         return []
@@ -587,7 +587,7 @@
         if isinstance(ticket, _ForwardTicket):
             return [Send(ticket.sender, CommandAnswer(ticket.ticket, result, ""))]
         if isinstance(ticket, HandOverTicket) and self.controller is not None:
-            return self.controller.desk.handed_over(ticket, result)
+            return self.controller.pending_reads.on_hand_over_result(ticket, result)
         if isinstance(ticket, RaiseFloor) and result is not None:
             return self._on_floor_raised(now)
         return []
@@ -606,5 +606,5 @@
     def _on_configuration_adopted(self) -> list[Effect]:
         configuration = self.configuration.store.configuration
         assert configuration is not None
-        self.policies = PolicyBook(configuration.policies)
+        self.policies = PolicyRegistry(configuration.policies)
         return []
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -18,9 +18,9 @@
 from stileloom.api.dialect import Dialect, EndJob, JobCall, ReadItem, ReadResults
 from stileloom.api.routes import IngressLimits, Route, RouteKind
 from stileloom.clock import steady_time
-from stileloom.errors import ErrorKind, Outcome, StileloomError, problem_of
+from stileloom.errors import ErrorKind, Outcome, StileloomError, problem_document
 from stileloom.events import LogEvent
-from stileloom.http1.request_encoder import end_to_end
+from stileloom.http1.request_encoder import end_to_end_headers
 from stileloom.http1.response_decoder import ResponseHead
 from stileloom.jobs.client import JobClient
 from stileloom.jobs.messages import (
@@ -40,7 +40,7 @@
 from stileloom.jobs.submission_check import check_submission
 from stileloom.logging import EventLog
 from stileloom.proxy.forwarder import Forwarder
-from stileloom.proxy.lookup import Lookup, LookupAnswer
+from stileloom.proxy.lookup import Lookup, LookupResponse
 from stileloom.proxy.metrics import ProxyMetrics
 from stileloom.proxy.route_table import RouteTable
 from stileloom.proxy.stream_relay import StreamRelay, StreamWriter
@@ -79,7 +79,7 @@
     body: bytes
 
 
-class Front(HTTPServerConnectionDelegate):
+class GatewayServer(HTTPServerConnectionDelegate):
     """HTTP server delegate; one per gateway."""
 
     def __init__(
@@ -91,7 +91,7 @@
         jobs: JobClient,
         log: EventLog,
         metrics: ProxyMetrics,
-        keeps_results: bool = True,
+        cache_results: bool = True,
     ) -> None:
         self.draining = False
         """Whether responses carry `Connection: close`."""
@@ -104,7 +104,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._jobs = jobs
-        self._results = ResultReader(jobs, ResultCache(), keeps_results)
+        self._results = ResultReader(jobs, ResultCache(), cache_results)
         self._log = log
         self._metrics = metrics
         self._open = 0
@@ -182,14 +182,16 @@
             request_id=request_id,
             method=request.method,
             target=request.target,
-            headers=end_to_end(request.headers.get_all(), request.headers.get("Connection", "")),
+            headers=end_to_end_headers(
+                request.headers.get_all(), request.headers.get("Connection", "")
+            ),
             body=request.body,
             arrived_at=request.arrived_at,
             deadline_at=request.arrived_at + max(0.001, limit_s - DEADLINE_MARGIN_S),
             caller_address=request.caller_address,
         )
         service = self._routes.choose_backend(route)
-        answer: LookupAnswer | None
+        answer: LookupResponse | None
         if route.kind is RouteKind.STREAMING and writer is not None:
             answer = await self._relay.relay(lookup, route, service, writer)
             if answer is None:
@@ -198,7 +200,7 @@
         else:
             answer = await self._forwarder.forward(lookup, route, service)
         head = answer.head
-        headers = end_to_end(head.headers.get_all(), head.headers.get("Connection", ""))
+        headers = end_to_end_headers(head.headers.get_all(), head.headers.get("Connection", ""))
         self._metrics.requests.labels(route.name, str(head.status)).inc()
         return CallerResponse(head.status, head.reason, headers, answer.body)
 
@@ -274,7 +276,7 @@
         return {"identity": identity_of(request.method, request.target, headers, request.body)}
 
     def _refuse(self, request: CallerRequest, error: StileloomError) -> CallerResponse:
-        problem = problem_of(error)
+        problem = problem_document(error)
         status = problem.status
         if status == 503 and error.outcome is Outcome.UNKNOWN:
             is_read = request.method == "GET"
@@ -310,7 +312,7 @@
 class _CallerExchange(HTTPMessageDelegate):
     """One request on a caller's connection; implements `StreamWriter`."""
 
-    def __init__(self, front: Front, connection: HTTPConnection) -> None:
+    def __init__(self, front: GatewayServer, connection: HTTPConnection) -> None:
         self._front = front
         self._connection = connection
         self._start: RequestStartLine | None = None
@@ -326,7 +328,9 @@
         """Sends the head of the first sampler's response."""
         self._streaming = True
         headers = HTTPHeaders()
-        for name, value in end_to_end(head.headers.get_all(), head.headers.get("Connection", "")):
+        for name, value in end_to_end_headers(
+            head.headers.get_all(), head.headers.get("Connection", "")
+        ):
             headers.add(name, value)
         if self._front.draining:
             headers["Connection"] = "close"
--- a/stileloom/weights/swap.py
+++ b/stileloom/weights/swap.py
@@ -102,7 +102,7 @@
         load = view.load
         if load is None or view.unreachable or view.leaving:
             return False
-        if now > view.heard_at + constants.SAMPLER_REPORT_STALE_S:
+        if now > view.last_contact_at + constants.SAMPLER_REPORT_STALE_S:
             return False
         if holds(view, target):
             return False
@@ -111,12 +111,13 @@
             acknowledged = load.last_order >= sent_order.token
             elapsed_s = now - sent_order.sent_at
             if not acknowledged:
-                return elapsed_s >= constants.ORDER_RETRY_S
+                return elapsed_s >= constants.ORDER_RETRY_INTERVAL_S
             if load.state is EngineState.LOADING:
                 return elapsed_s >= ORDER_TIMEOUT_S
             if load.state is EngineState.SERVING and elapsed_s < ORDER_TIMEOUT_S:
                 return (
-                    load.weight_version != target.version and elapsed_s >= constants.ORDER_RETRY_S
+                    load.weight_version != target.version
+                    and elapsed_s >= constants.ORDER_RETRY_INTERVAL_S
                 )
         only_role_differs = (load.model, load.weight_version) == (target.model, target.version)
         if load.state is EngineState.UNKNOWN_VERSION or only_role_differs:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -54,8 +54,7 @@
         "stileloom/transport/calls.py",
         "            async with asyncio.timeout(timeout_s):\n                return await future\n",
         "            return await asyncio.wait_for(future, timeout_s)\n",
-        f"{CANCELLATION}::CancelledWatchTest"
-        "::test_a_watcher_that_is_stopped_with_a_reply_follows_no_more",
+        f"{CANCELLATION}::CancelledWatchTest::test_a_watcher_cancelled_with_a_reply_stops",
     ),
     Mutant(
         "the clock stands still while the machine is suspended",
@@ -64,7 +63,7 @@
         "CLOCK_BOOTTIME",
         "CLOCK_MONOTONIC",
         "tests/test_clock.py::SuspendedLeaderTest"
-        "::test_a_leader_that_slept_past_its_lease_may_not_act_when_it_wakes",
+        "::test_a_leader_may_not_act_after_a_suspend_longer_than_its_lease",
     ),
     Mutant(
         "dead samplers are asked again and again",
@@ -104,7 +103,7 @@
         "requests under the same ends are all held at the third",
         "innocent requests",
         "stileloom/quarantine/book.py",
-        "may_share_crashes = len(own_crashes) >= ENDS_SHARED",
+        "may_share_crashes = len(own_crashes) >= SHARED_CRASH_THRESHOLD",
         "may_share_crashes = True",
         f"{BOOK}::QuarantineBookTest"
         "::test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs",
@@ -203,7 +202,7 @@
         "a failed attempt is said not to have run",
         "not_run is true",
         "stileloom/routing/gateway.py",
-        "        if surely_not_begun:\n            execution.mark_attempt_not_started()",
+        "        if never_started:\n            execution.mark_attempt_not_started()",
         "        execution.mark_attempt_not_started()",
         "tests/test_routing.py",
     ),
@@ -331,7 +330,7 @@
         "bytes behind an answer are taken for the next one",
         "whole answers (routes)",
         "stileloom/http1/connection.py",
-        "            if self._decoder.has_excess:\n                self._reusable = False\n",
+        "            if self._decoder.has_trailing_data:\n                self._reusable = False\n",
         "",
         "tests/test_http1.py",
     ),
@@ -370,7 +369,7 @@
     Mutant(
         "an item is listed twice",
         "positions (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "if item.item_id not in known or item.item_id in job.listed:",
         "if item.item_id not in known:",
         "tests/test_routes.py",
@@ -378,7 +377,7 @@
     Mutant(
         "saved events of an earlier leader stay beside a later one's",
         "whole texts (jobs)",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "saved.parts[item.first_part :] = item.parts",
         "saved.parts += item.parts",
         "tests/test_routes.py",
@@ -403,7 +402,7 @@
         "a follower asks only addresses that it has a name for",
         "elections",
         "stileloom/ledger/peer_addresses.py",
-        "return [address for address in self.everyone() if address not in named]",
+        "return [address for address in self.all_addresses() if address not in named]",
         "return []",
         "tests/test_peer_addresses.py",
     ),
@@ -427,7 +426,7 @@
         "a sampler that does not answer gets as many runs as it has slots",
         "work goes where it runs",
         "stileloom/jobs/scheduler.py",
-        "if sampler.suspect_until > now or (sampler.failures and stats.running):",
+        "if sampler.avoid_until > now or (sampler.failures and stats.running):",
         "if False:",
         "tests/test_item_scheduler.py",
     ),
@@ -448,15 +447,15 @@
         "tests/test_ledger.py",
     ),
     Mutant(
-        "a cache passes on what it did not hear of lately",
+        "a cache serves data that it has not confirmed recently",
         "configuration in force",
         "stileloom/daemon/store_cache.py",
-        "return steady_time() < self._behind_at(followed)",
-        "return followed.watcher.synced_at is not None",
+        "return steady_time() < self._stale_at(cached)",
+        "return cached.watcher.synced_at is not None",
         "tests/test_store_cache.py",
     ),
     Mutant(
-        "a list from a cache may go back",
+        "a list from a cache may be older than one read before",
         "a stated leave sticks",
         "stileloom/daemon/cached_store.py",
         "if isinstance(reply, ObjectsListed) and reply.page.store_revision >= seen:",
@@ -509,7 +508,7 @@
     Mutant(
         "a new leader runs an item again whose text was whole",
         "scored items",
-        "stileloom/jobs/book.py",
+        "stileloom/jobs/registry.py",
         "            saved.whole = item.whole",
         "            saved.whole = False",
         f"{REWARDS}::RewardTest::"
@@ -569,8 +568,8 @@
         "orders leave after their window",
         "orders of one leader",
         "stileloom/jobs/order_window.py",
-        "        return self._ledger.may_act() and steady_time() < self._closes_at",
-        "        return self._ledger.may_act()",
+        "        return self._ledger.is_active_leader() and steady_time() < self._closes_at",
+        "        return self._ledger.is_active_leader()",
         f"{LEDGER}::OwnWindowTest::test_orders_are_sent_only_within_a_committed_window",
     ),
     Mutant(
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -178,8 +178,8 @@
         if versions and earlier:
             versions = {MODEL: max(s.model_versions[MODEL] for s in earlier)}
         sampler = HttpSampler(name, versions, EVENTS)
-        sampler.always_ends_at = self.poison_targets
-        sampler.on_end = lambda: self.stop_listening(name)
+        sampler.permanent_crash_targets = self.poison_targets
+        sampler.on_crash = lambda: self.stop_listening(name)
         self.samplers[name] = sampler
         self._record.samplers.append(sampler)
         port = sampler.listen(HOST)
@@ -216,10 +216,10 @@
         for proxy in self._tcp[link_name]:
             proxy.reset()
 
-    def silence_open(self, link_name: str) -> None:
+    def stall_open_connections(self, link_name: str) -> None:
         """What is open on a link is silent for good, without a reset."""
         for proxy in self._tcp[link_name]:
-            proxy.silence_open()
+            proxy.stall_open_connections()
 
     async def stop(self) -> None:
         """Ends all that this deployment started."""
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -107,7 +107,7 @@
         # silence. This proxy acknowledges whatever it throws away.
         links = [name for name in self._deployment.links if not name.startswith("to ledger")]
         name = self._rng.choice(sorted(links))
-        self._deployment.silence_open(name)
+        self._deployment.stall_open_connections(name)
         return f"{name}: what was open is silent for good"
 
     # Ledger nodes.
@@ -256,10 +256,10 @@
         sampler = self._deployment.samplers[name]
         sampler.faults = self._rng.choice(
             [
-                SamplerFaults(cut_after_events=self._rng.randint(0, 5)),
+                SamplerFaults(disconnect_after_events=self._rng.randint(0, 5)),
                 SamplerFaults(fail_status=500),
                 SamplerFaults(refuse=True),
-                SamplerFaults(silent=True),
+                SamplerFaults(unresponsive=True),
             ]
         )
         told = f"{name}: {sampler.faults}"
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -24,8 +24,8 @@
 )
 from stileloom.errors import ErrorKind, StileloomError
 from stileloom.events import LogEvent
-from stileloom.jobs.book import JobBook
 from stileloom.jobs.intake import reusable_results
+from stileloom.jobs.registry import JobRegistry
 from stileloom.jobs.reward_window import (
     INITIAL_BACKOFF_S,
     INITIAL_LIMIT,
@@ -34,7 +34,7 @@
     RewardWindow,
 )
 from stileloom.jobs.submission_check import check_submission
-from stileloom.trace import gather
+from stileloom.trace import collect_trace
 from tests.service_cluster import (
     ATTEMPTS,
     HOSTNAME,
@@ -82,28 +82,30 @@
             results = await cluster.results("job", 8)
             self.check_scores(results)
             self.assertEqual(results, await cluster.results("job", 8, gateway=1))
-            whole_at: dict[str, float] = {}
+            completed_at: dict[str, float] = {}
             for sampler in samplers(cluster, DRAFTERS):
-                whole_at |= sampler.whole_at
+                completed_at |= sampler.completed_at
             for call in runs_at(cluster, SCORERS):
                 item = call.request_id.removeprefix("score-")
                 self.assertEqual(f"/charts/score/{item}", call.target)
                 self.assertEqual(b"text", call.body)
-                self.assertGreaterEqual(call.started_at, whole_at[item])
+                self.assertGreaterEqual(call.started_at, completed_at[item])
 
         with_cluster(scenario)
 
     def test_a_full_or_unresponsive_scoring_service_delays_results_and_loses_none(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
-            full, silent = samplers(cluster, SCORERS)
+            full, unresponsive = samplers(cluster, SCORERS)
             full.faults.refuse = True
-            silent.faults.silent = True
+            unresponsive.faults.unresponsive = True
             items = items_named(6)
             await cluster.submit("job", items, rewards=True)
-            await cluster.until(lambda: len(runs_at(cluster, ("chart-2",))) > 0)
-            await cluster.until(lambda: len({r.request_id for r in runs_at(cluster, DRAFTERS)}) > 5)
+            await cluster.wait_until(lambda: len(runs_at(cluster, ("chart-2",))) > 0)
+            await cluster.wait_until(
+                lambda: len({r.request_id for r in runs_at(cluster, DRAFTERS)}) > 5
+            )
             full.faults.refuse = False
-            silent.faults.silent = False
+            unresponsive.faults.unresponsive = False
             self.check_scores(await cluster.results("job", 6))
             self.assertEqual(6, len(runs_at(cluster, DRAFTERS)), "an item ran again")
 
@@ -136,9 +138,9 @@
                 return sum(partial.whole for partial in saved) == 4
 
             first = cluster.leader() or ""
-            await cluster.until(lambda: texts_saved(first))
+            await cluster.wait_until(lambda: texts_saved(first))
             await cluster.kill(first)
-            await cluster.until(lambda: cluster.leader() not in (None, first))
+            await cluster.wait_until(lambda: cluster.leader() not in (None, first))
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
             self.check_scores(await cluster.results("job", 4))
@@ -154,9 +156,9 @@
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             rewards = leader._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 4)
+            await cluster.wait_until(lambda: len(rewards) == 4)
             self.assertEqual(200, (await cluster.call("DELETE", "/v1/jobs/job")).code)
-            await cluster.until(lambda: len(rewards) == 0)
+            await cluster.wait_until(lambda: len(rewards) == 0)
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
             # The leader has run several scheduling steps by the time the next job completes.
@@ -172,11 +174,11 @@
                 sampler.faults.refuse = True
             items = items_named(3)
             await cluster.submit("first", items, rewards=True)
-            await cluster.until(lambda: len(runs_at(cluster, DRAFTERS)) == 3)
+            await cluster.wait_until(lambda: len(runs_at(cluster, DRAFTERS)) == 3)
             leader = cluster.ledger_nodes[cluster.leader() or ""]
             assert leader._leadership is not None
             rewards = leader._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 3)
+            await cluster.wait_until(lambda: len(rewards) == 3)
             await cluster.call("DELETE", "/v1/jobs/first")
             for sampler in samplers(cluster, SCORERS):
                 sampler.faults.refuse = False
@@ -208,11 +210,11 @@
         async def scenario(cluster: ServiceCluster) -> None:
             await cluster.write("configuration", "main", configuration(2, path_prefix="/other/"))
             node = cluster.ledger_nodes[cluster.leader() or ""]
-            await cluster.until(lambda: node._directory.routes.version == 2)
+            await cluster.wait_until(lambda: node._directory.routes.version == 2)
             await cluster.submit("job", ["i1"], rewards=True)
             assert node._leadership is not None
             rewards = node._leadership.runner._rewards
-            await cluster.until(lambda: len(rewards) == 1)
+            await cluster.wait_until(lambda: len(rewards) == 1)
             changed = configuration(3, backends=[{"service": "spare", "weight": 1}])
             changed["services"].append({"name": "spare", "max_connections": 9})
             await cluster.add_sampler("spare-1", "spare")
@@ -257,7 +259,7 @@
                 sampler.gauge = gauge
             await cluster.submit("job", items_named(40), rewards=True)
             self.check_scores(await cluster.results("job", 40))
-            self.assertEqual(int(2 * SLOTS * MAX_SLOT_SHARE), gauge.most_running)
+            self.assertEqual(int(2 * SLOTS * MAX_SLOT_SHARE), gauge.max_running)
 
         with_cluster(scenario)
 
@@ -340,23 +342,23 @@
         return JobSubmission(job_id, "h", "/p", 0, "m", 1, 1, [item])
 
     def test_a_result_combines_a_saved_text_and_a_later_score(self) -> None:
-        book = JobBook()
-        book.submit(self.submission("j"))
-        book.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
-        self.assertTrue(book.jobs["j"].progress["i1"].whole)
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "0.7")])
-        (result,) = book.jobs["j"].results
+        registry = JobRegistry()
+        registry.submit(self.submission("j"))
+        registry.save("j", [ItemProgress("i1", 0, ["a", "b"], 2, [3], True)])
+        self.assertTrue(registry.jobs["j"].progress["i1"].whole)
+        registry.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 2, [], [3], "0.7")])
+        (result,) = registry.jobs["j"].results
         self.assertEqual(("a\nb", [3], "0.7"), (result.text, result.versions, result.score))
 
     def test_a_result_is_reused_only_for_the_same_reward_call(self) -> None:
-        book = JobBook()
-        book.submit(self.submission("j"))
-        book.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "0.7")])
-        book.submit(self.submission("same"))
-        book.submit(self.submission("other", reward_id="s2"))
-        (found,) = reusable_results(book, book.jobs["same"], False)
+        registry = JobRegistry()
+        registry.submit(self.submission("j"))
+        registry.record("j", [FinishedItem("i1", ItemState.SUCCEEDED, 0, ["a"], [3], "0.7")])
+        registry.submit(self.submission("same"))
+        registry.submit(self.submission("other", reward_id="s2"))
+        (found,) = reusable_results(registry, registry.jobs["same"], False)
         self.assertEqual("0.7", found.score)
-        self.assertEqual([], reusable_results(book, book.jobs["other"], False))
+        self.assertEqual([], reusable_results(registry, registry.jobs["other"], False))
 
     def test_an_item_that_would_split_a_request_head_is_refused(self) -> None:
         for item in (
@@ -391,5 +393,5 @@
         ]
         common = {"timestamp": "2026-01-01T00:00:00+00:00", "node": "n"}
         text = [msgspec.json.encode(common | line).decode() for line in lines]
-        events = [line.event for line in gather("i1", text).lines]
+        events = [line.event for line in collect_trace("i1", text).lines]
         self.assertEqual(["reward_asked", "attempt_failed"], events)
