--- a/stileloom/jobs/item_stream.py
+++ b/stileloom/jobs/item_stream.py
@@ -21,7 +21,7 @@
     MISDIRECTED = "misdirected"
     """The address belongs to another sampler or another version of the weights."""
     FAILED = "failed"
-    """Status 500, a failed attempt of the item."""
+    """Status 500: counts as a failed attempt of the item."""
     IMPOSSIBLE = "impossible"
     """Status 422: the sampler can never run the item."""
     TOO_OLD = "too_old"
@@ -88,7 +88,7 @@
             self._finish(RunOutcome.BROKEN, end.value)
         elif self._head.status == 200:
             if self._parser.has_partial or self._partial.last_event_id is None:
-                self._finish(RunOutcome.BROKEN, "ended within an event")
+                self._finish(RunOutcome.BROKEN, "stream ended within an event or without any")
             else:
                 self._finish(RunOutcome.COMPLETE, "")
         else:
--- a/tests/test_item_scheduler.py
+++ b/tests/test_item_scheduler.py
@@ -18,6 +18,7 @@
 
 SERVICE = "engines"
 LATER = 100.0
+"""A time after all delays."""
 
 
 def entry(name: str, slots: int = 2, versions: dict[str, int] | None = None) -> SamplerEntry:
@@ -86,18 +87,18 @@
         fixture.scheduler.models_of("a").record_version("m", 2)
         self.assertEqual({"j-i0": "a"}, fixture.starts())
 
-    def test_longest_first(self) -> None:
+    def test_the_longest_item_starts_first(self) -> None:
         fixture = SchedulerFixture(entry("a", slots=1))
         fixture.adopt(record("j", 2), sizes={"j-i1": ItemSize(9000.0)})
         self.assertEqual({"j-i1": "a"}, fixture.starts())
 
-    def test_a_sampler_without_free_cache_gets_no_more_runs(self) -> None:
+    def test_a_sampler_with_a_full_cache_gets_no_more_runs(self) -> None:
         fixture = SchedulerFixture(entry("a", slots=8))
         fixture.scheduler.cache_tokens[SERVICE] = 500
         fixture.adopt(record("j", 3), sizes={f"j-i{n}": ItemSize(400.0, 50.0) for n in range(3)})
         self.assertEqual(2, len(fixture.starts()))
 
-    def test_an_unresponsive_run_moves(self) -> None:
+    def test_a_run_without_events_becomes_unresponsive(self) -> None:
         fixture = SchedulerFixture(entry("a"))
         fixture.adopt(record("j", 1))
         fixture.starts()
@@ -116,7 +117,7 @@
         self.assertEqual([item], fixture.scheduler.slow_runs(now))
         faster = fixture.scheduler.faster_sampler(item, now)
         self.assertNotIn(faster, (None, sampler))
-        fixture.scheduler.run_ended(item)
+        fixture.scheduler.end_run(item)
         fixture.scheduler.start_on(item, str(faster), now)
         self.assertEqual(1, fixture.scheduler.stats(str(faster)).running)
 
@@ -144,7 +145,7 @@
                 fixture.scheduler.record_event(item, number * 0.3)
         now = 19 * 0.3
         first, second = fixture.scheduler.slow_runs(now)
-        fixture.scheduler.run_ended(first, avoid=True)
+        fixture.scheduler.end_run(first, avoid=True)
         fixture.scheduler.start_on(first, "b", now)
         self.assertIsNone(fixture.scheduler.faster_sampler(second, now))
 
@@ -158,19 +159,19 @@
         self.assertEqual(["fast"] * 4 + ["slow"], [placed[f"j-i{n}"] for n in range(5)])
 
     def test_remaining_events_depend_on_the_tokens_per_event_of_the_service(self) -> None:
-        for tokens_per_event, left in ((50.0, 20.0), (10.0, 100.0)):
+        for tokens_per_event, events_left in ((50.0, 20.0), (10.0, 100.0)):
             fixture = SchedulerFixture(entry("a"))
             sizes = {"j-i0": ItemSize(1000.0)}
             fixture.adopt(record("j", 1), sizes=sizes, tokens_per_event=tokens_per_event)
             (item,) = fixture.scheduler.items.values()
-            self.assertEqual(left, fixture.scheduler.events_left(item))
+            self.assertEqual(events_left, fixture.scheduler.events_left(item))
 
     def test_a_moved_run_does_not_come_back_while_another_sampler_has_room(self) -> None:
         fixture = SchedulerFixture(entry("a"), entry("b"))
         fixture.adopt(record("j", 1))
         (first,) = fixture.starts().values()
         (item,) = fixture.scheduler.items.values()
-        fixture.scheduler.run_ended(item, avoid=True)
+        fixture.scheduler.end_run(item, avoid=True)
         fixture.scheduler.stats(first).interval_s = 0.001
         self.assertNotEqual([first], list(fixture.starts().values()))
 
@@ -201,7 +202,7 @@
         self.assertEqual(2, item.saved_parts)
 
     def test_a_reused_item_resumes_only_if_its_versions_are_accepted(self) -> None:
-        for min_version, kept in ((1, 1), (2, 0)):
+        for min_version, resumed_events in ((1, 1), (2, 0)):
             fixture = SchedulerFixture(entry("a"))
             first = record("j", 1)
             fixture.adopt(first)
@@ -213,7 +214,7 @@
             )
             fixture.adopt(later)
             (item,) = fixture.scheduler.items.values()
-            self.assertEqual(kept, len(item.partial.parts))
+            self.assertEqual(resumed_events, len(item.partial.parts))
             self.assertTrue(item.reused)
 
 
@@ -247,7 +248,7 @@
 class VersionPlannerTest(testtools.TestCase):
     """Planned weight loads."""
 
-    def test_idle_samplers_load_a_few_at_a_time_once_the_step_has_started(self) -> None:
+    def test_idle_samplers_load_a_few_at_a_time_after_a_delay(self) -> None:
         fixture = SchedulerFixture(*(entry(name) for name in "abc"))
         fixture.planner.set_target("m", 2, 0.0)
         self.assertEqual([], fixture.loads(LOAD_DELAY_S / 2))
@@ -257,7 +258,7 @@
         self.assertEqual([], fixture.loads(LOAD_DELAY_S + 0.2))
 
     def test_of_many_samplers_more_load_together(self) -> None:
-        """Guards against large services that load more slowly than versions are announced."""
+        """Guards against loads that fall behind the announced versions in a large service."""
         self.assertEqual([2, 2, 2, 10], [max_concurrent_loads(count) for count in (1, 5, 6, 25)])
         fixture = SchedulerFixture(*(entry(f"s{number:02}") for number in range(24)))
         fixture.planner.set_target("m", 2, 0.0)
@@ -270,7 +271,7 @@
         placed = fixture.starts()
         for key, open_item in list(fixture.scheduler.items.items()):
             if placed[key[1]] in "abcd" and fixture.scheduler.running_on(placed[key[1]], "m") > 2:
-                fixture.scheduler.run_ended(open_item)
+                fixture.scheduler.end_run(open_item)
                 open_item.finished = True
         fixture.planner.set_target("m", 2, 0.0)
         evacuated = [load[3] for load in fixture.loads(LOAD_DELAY_S + 0.1)]
@@ -283,7 +284,7 @@
         fixture.planner.set_target("m", 2, 0.0)
         self.assertEqual([], fixture.loads(LATER))
 
-    def test_a_version_that_waiting_items_require_is_loaded_beside_running_items(self) -> None:
+    def test_a_version_that_waiting_items_require_is_loaded_while_others_run(self) -> None:
         fixture = SchedulerFixture(entry("a"))
         fixture.adopt(record("j", 1))
         fixture.starts()
