--- a/stileloom/ledger/commands.py
+++ b/stileloom/ledger/commands.py
@@ -1,6 +1,13 @@
 """Commands of the ledger's state machine and their results.
 
-Commands are idempotent, so that a command can be retried when its result is lost.
+A command may be applied more than once, because its sender repeats it when the result is lost.
+An immediate repeat leaves the state unchanged, except that `OpenOrderWindow` counts every
+application and `CommitSample` counts the rejection of a stale sample every time. Repeats of
+`SubmitPrompts`, `ClaimKey` and `SubmitJob` are recognized only as long as the batch, claim or job
+is stored, and a delayed repeat of `RegisterRound` overwrites newer settings.
+
+The result of a repeat may differ: `duplicate` may be set, `StartTrial` is rejected because a trial
+has just started, and `HandOver` returns the deliveries that are unacknowledged by then.
 """
 
 from __future__ import annotations
@@ -14,7 +21,7 @@
 
 
 class StartEpoch(msgspec.Struct, frozen=True, tag=True):
-    """First entry of each leader; commits the uncommitted entries of earlier leaders."""
+    """First entry of each leader; its commit includes all earlier entries of the leader's log."""
 
     leader: str
 
@@ -65,7 +72,7 @@
 
 
 class AcknowledgeDeliveries(msgspec.Struct, frozen=True, tag=True):
-    """The trainer has stored all deliveries below `offset`; removes them from the ledger."""
+    """Removes the deliveries below `offset`, which the trainer has stored."""
 
     round_name: str
     offset: int
@@ -85,12 +92,13 @@
     body_digest: int
     request_id: str
     repeatable: bool
+    """Whether the request may run more than once; an earlier claim then does not block it."""
     claimed_at_s: float
     """Wall-clock time at the gateway; only used to expire old claims."""
 
 
 class ReleaseKey(msgspec.Struct, frozen=True, tag=True):
-    """Releases a key whose request was certainly not run."""
+    """Releases a key whose request is known not to have run."""
 
     key: str
     request_id: str
@@ -123,7 +131,7 @@
 
 
 class RecordIntervals(msgspec.Struct, frozen=True, tag=True):
-    """Event interval of each sampler as measured by the leader, in seconds."""
+    """Replaces the event intervals by sampler, in seconds, as measured by the leader."""
 
     interval_s: dict[str, float]
 
@@ -141,13 +149,13 @@
 
 
 class OpenOrderWindow(msgspec.Struct, frozen=True, tag=True):
-    """Lets the leader send orders to samplers for `ORDER_WINDOW_S` (`ledger/order_windows.py`)."""
+    """Opens a window for the leader's orders to samplers (`ledger/order_windows.py`)."""
 
     holder: str
 
 
 class RetireNode(msgspec.Struct, frozen=True, tag=True):
-    """Retires a node: it is removed from the voter set permanently."""
+    """Retires a node: it leaves the voter set and does not become a voter again."""
 
     node_id: str
 
@@ -207,7 +215,10 @@
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """The command was accepted; `duplicate` if its effect was already in place."""
+    """The command was accepted.
+
+    `duplicate` is set if the round, key, job, sample, offset or version was already recorded.
+    """
 
     duplicate: bool = False
 
@@ -227,7 +238,7 @@
 
 
 class SampleRefused(msgspec.Struct, frozen=True, tag=True):
-    """The sample is stale or malformed; its slot stays open."""
+    """The sample is stale, malformed or for a different prompt; its slot stays open."""
 
     detail: str
 
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -3,9 +3,9 @@
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014),
 with pre-vote and leader stickiness (dissertation, sections 9.6 and 4.2.3). Raft terms are
 called epochs because they are the epochs of the fencing tokens. Differences from the paper:
-a reply that depends on persisted state is deferred until that write is durable, and a vote
-counts only if its disk identity is in the voter set, so a node that lost its disk cannot vote
-without the state it had persisted.
+a reply that depends on persisted state is deferred until that state is durable, and a vote
+counts only if its disk identity is in the voter set. A node that lost its disk, and with it the
+record of its earlier votes, therefore cannot vote.
 """
 
 from __future__ import annotations
@@ -69,6 +69,7 @@
         self.epoch = recovered.hard_state.epoch
         self.leader: str | None = None
         self.unavailable: set[str] = set()
+        """Nodes that another source, such as the membership, reports as dead."""
         self._lost_disk_detector = LostDiskDetector(rng)
         self._voted_for = recovered.hard_state.voted_for
         self._log = LedgerLog(without_state(recovered.snapshot), recovered.entries)
@@ -93,12 +94,12 @@
         self._last_index_by_write: dict[int, int] = {}
         self._deferred_effects: list[tuple[int, Effect]] = []
         self._next_heartbeat_at = now
-        # A restarted voter may have confirmed a lease just before, so it lets that lease expire.
+        # A voter may have confirmed a lease just before it restarted; it must outlast that lease.
         self._last_leader_contact_at = now
         self._previous_leader = (
             last_leader(recovered, self.state) if switches.restart_head_start else ""
         )
-        """Leader before the restart; empty if the disk does not identify it reliably."""
+        """Leader before the restart; empty if unknown or once a new leader is known."""
         self._restarted_at = now
         self._election_due_at = now + self._election_timeout(now)
         self._next_hello_at = now
@@ -185,9 +186,9 @@
         for pending in sorted(self._last_index_by_write):
             if pending <= write_id:
                 self._durable_index = self._last_index_by_write.pop(pending)
-        released = [effect for due, effect in self._deferred_effects if due <= write_id]
+        released = [effect for awaited, effect in self._deferred_effects if awaited <= write_id]
         self._deferred_effects = [
-            (due, effect) for due, effect in self._deferred_effects if due > write_id
+            (awaited, effect) for awaited, effect in self._deferred_effects if awaited > write_id
         ]
         if self.role is ReplicaRole.LEADER:
             released += self._advance_commit(now)
@@ -235,8 +236,8 @@
     def _election_timeout(self, now: float) -> float:
         """Time until this replica starts an election.
 
-        After a restart of all nodes the previous leader campaigns first: no other node can hold
-        a lease, so it may send orders immediately.
+        After a restart of all nodes the previous leader campaigns first: it need not wait with
+        orders to samplers if it opened the last order window (`ledger/order_windows.py`).
         """
         if self._previous_leader and now < self._restarted_at + constants.RESTART_S:
             if self._previous_leader == self.me.node_id:
@@ -281,7 +282,7 @@
     def _on_vote_request(self, now: float, message: VoteRequest) -> list[Effect]:
         sticky = now < self._last_leader_contact_at + constants.ELECTION_TIMEOUT_MIN_S
         if message.candidate.node_id == self._previous_leader:
-            # Any lease that this voter confirmed before its restart is the candidate's own.
+            # A lease that this voter confirmed before its restart is the candidate's own.
             sticky = False
         leading = self.role is ReplicaRole.LEADER and now < self.lease_expires_at(now)
         if ((sticky or leading) and not message.handed_over) or not self._grants_votes:
@@ -381,7 +382,11 @@
         return effects
 
     def _send_probe(self, now: float, follower: Voter, progress: FollowerProgress) -> list[Effect]:
-        """Sends an empty request, or a snapshot if the log is compacted past that index."""
+        """Sends an append request without entries to find the last common entry.
+
+        Sends a snapshot instead if the entry before the follower's next one is compacted. While a
+        snapshot is in transit, the request is only a heartbeat.
+        """
         snapshot_due = now >= progress.snapshot_sent_at + constants.SNAPSHOT_RETRY_S
         if progress.state is FollowerState.SNAPSHOT and not snapshot_due:
             return self._send_request(now, follower, self._log.base_index, [])
@@ -403,8 +408,8 @@
         progress.expected_nonce = self._nonce
         progress.snapshot_sent_at = now
         progress.next_index = snapshot.last_index + 1
-        install = SnapshotRequest(self.epoch, self.me, snapshot, self._nonce)
-        return [Send(follower.node_id, install)]
+        request = SnapshotRequest(self.epoch, self.me, snapshot, self._nonce)
+        return [Send(follower.node_id, request)]
 
     def _send_entries(
         self, now: float, follower: Voter, progress: FollowerProgress
@@ -469,8 +474,8 @@
     ) -> list[Effect]:
         """Probes for the last common entry after a rejected request.
 
-        Rejections of pipelined requests share one probe; a probe for each rejection would send
-        the same entries repeatedly.
+        The first of several rejected pipelined requests starts the probe; the other rejections
+        are ignored, because a probe for each would make the leader resend the same entries.
         """
         replicating = progress.state is FollowerState.REPLICATE
         if not replicating and message.nonce != progress.expected_nonce:
@@ -502,8 +507,8 @@
     def _grants_votes(self) -> bool:
         """Whether this replica answers vote requests.
 
-        A voter removed by the newest change keeps voting, because a node that does not know that
-        the change is committed may need its vote.
+        A voter removed by the newest change still grants votes: a candidate that does not know
+        whether the change is committed may need a majority of the previous set.
         """
         return self.is_voter or self.me in self._log.voters_before_change
 
@@ -512,14 +517,14 @@
         """Whether this replica may start an election.
 
         A replica whose removal is committed campaigns only if a voter has lost its disk: its own
-        log may be the longest one left.
+        log may then be the only one with all committed entries.
         """
         removed = not self.is_voter and self._log.voters_at(self._commit_index) == self.voters
-        needed = not self._lost_disk_detector.lost_disks.isdisjoint(self.voters)
-        return self._grants_votes and (needed or not removed)
+        voter_lost_disk = not self._lost_disk_detector.lost_disks.isdisjoint(self.voters)
+        return self._grants_votes and (voter_lost_disk or not removed)
 
     def _is_removed_leader(self, now: float) -> bool:
-        """Whether this leader is not in the voter set and its complete log is committed."""
+        """Whether this leader is outside the voter set and has committed its whole log."""
         return (
             not self.is_voter and self.may_act(now) and self._commit_index == self._log.last_index
         )
@@ -579,7 +584,8 @@
     def _replicate_to_standbys(self, now: float) -> list[Effect]:
         """Starts replication to the standbys that are needed and stops it for the others.
 
-        Requires the lease: without it this node may itself be partitioned from the others.
+        Does nothing without the lease: the voters may seem unresponsive only because this node is
+        partitioned from them.
         """
         if not self.may_act(now):
             return []
@@ -607,12 +613,12 @@
     def _change_voters(self, now: float) -> list[Effect]:
         """Proposes the next voter set change once the previous one is committed.
 
-        Requires the lease: without it this node may itself be partitioned from the others.
+        Does nothing without the lease, for the same reason as `_replicate_to_standbys`.
         """
         if not self.may_act(now):
             return []
-        committed = self._log.voters_at(self._commit_index) == self.voters
-        if not committed or self._log.epoch_at(self._applied_index) != self.epoch:
+        change_committed = self._log.voters_at(self._commit_index) == self.voters
+        if not change_committed or self._log.epoch_at(self._applied_index) != self.epoch:
             return []
         health = self._voter_health(now)
         learners = [
@@ -659,7 +665,7 @@
             reply = AppendReply(self.epoch, self.me, False, hint, message.nonce)
             return effects + self._when_durable([Send(message.leader.node_id, reply)])
         match_index = previous + len(message.entries)
-        # Updated first, so that the entries and the commit index are persisted in one write.
+        # Set before appending, so that the write of the entries includes the new commit index.
         self._commit_index = max(self._commit_index, min(message.commit_index, match_index))
         effects += self._append_missing_entries(message.entries)
         effects += self._apply(now)
@@ -667,7 +673,10 @@
         return effects + self._when_durable([Send(message.leader.node_id, reply)])
 
     def _conflict_hint(self, previous: int) -> int:
-        """Index to try next: before the conflicting epoch, but not below the commit index."""
+        """The `previous_index` that the leader should try next.
+
+        The index before the first entry of the conflicting epoch, but not below the commit index.
+        """
         hint = min(previous - 1, self._log.last_index)
         conflicting = self._log.epoch_at(previous)
         while hint > self._commit_index and self._log.epoch_at(hint) == conflicting:
@@ -675,7 +684,7 @@
         return max(hint, self._commit_index)
 
     def _append_missing_entries(self, entries: list[Entry]) -> list[Effect]:
-        """Appends missing entries; a conflicting entry truncates the old suffix."""
+        """Appends the entries that the log lacks; truncates the log from a conflicting entry on."""
         for position, entry in enumerate(entries):
             if entry.index <= self._log.base_index:
                 continue
@@ -697,9 +706,10 @@
             self.state = msgspec.msgpack.decode(snapshot.state, type=LedgerState)
             self._commit_index = snapshot.last_index
             self._applied_index = snapshot.last_index
-            # Drop a suffix that does not continue the snapshot on disk as well.
-            after = snapshot.last_index + 1 if len(self._log) == 0 else None
-            effects += self._persist(Persist(0, truncate_from=after, snapshot=snapshot))
+            # `compact` emptied the log if its entries do not continue the snapshot; the journal
+            # must drop these entries as well.
+            truncate = snapshot.last_index + 1 if len(self._log) == 0 else None
+            effects += self._persist(Persist(0, truncate_from=truncate, snapshot=snapshot))
             effects.append(Emit(LogEvent.SNAPSHOT_INSTALLED, {"index": snapshot.last_index}))
         reply = AppendReply(self.epoch, self.me, True, snapshot.last_index, message.nonce)
         return effects + self._when_durable([Send(message.leader.node_id, reply)])
@@ -716,6 +726,7 @@
             if ticket is not None:
                 effects.append(Applied(ticket, result))
             if isinstance(entry.command, ChangeVoters):
+                # After a restart the replica must still know that the change is committed.
                 effects += self._persist(Persist(0))
                 effects += self._on_voters_applied(now)
         if self._applied_index - self._log.base_index >= constants.SNAPSHOT_AFTER_ENTRIES:
@@ -746,7 +757,7 @@
         return [*effects, Emit(LogEvent.SNAPSHOT_TAKEN, {"index": snapshot.last_index})]
 
     def _encode_snapshot(self) -> SnapshotRecord:
-        """Encodes the applied state as a snapshot. Not cached, to save memory."""
+        """Encodes the applied state as a snapshot. The result is not cached, to save memory."""
         index = self._applied_index
         epoch = self._log.epoch_at(index)
         assert epoch is not None
@@ -767,6 +778,7 @@
         return self._persist(Persist(0, hard_state=HardState(self.epoch, self._voted_for)))
 
     def _persist(self, write: Persist) -> list[Effect]:
+        """Returns the write with its id and the current commit index filled in."""
         self._write_id += 1
         self._last_index_by_write[self._write_id] = self._log.last_index
         commit_index = self._commit_index
