--- a/stileloom/ledger/state.py
+++ b/stileloom/ledger/state.py
@@ -1,7 +1,7 @@
 """The replicated state machine: rounds, samples, deliveries, keys, jobs and quarantine.
 
-`LedgerState` is a msgspec struct; a snapshot is its encoding. `apply` is deterministic: it reads
-no clock and uses no random numbers.
+A snapshot is an encoded `LedgerState`. `apply` is deterministic: it reads no clock and uses no
+random numbers.
 """
 
 from __future__ import annotations
@@ -82,9 +82,9 @@
     next_slot: int = 0
     open_slots: dict[int, OpenSlot] = msgspec.field(default_factory=dict)
     ready: dict[int, Sample] = msgspec.field(default_factory=dict)
-    """Accepted samples by slot that are not delivered yet."""
+    """Accepted samples that are not delivered yet, by slot."""
     slots_of_ready: dict[int, OpenSlot] = msgspec.field(default_factory=dict)
-    """The slots of the samples in `ready`; a slot is reopened if its sample becomes stale."""
+    """Slots of the samples in `ready`, kept to reopen a slot if its sample becomes stale."""
     deliveries: list[Delivery] = msgspec.field(default_factory=list)
     """Delivered but not acknowledged; offsets are contiguous from `acknowledged`."""
     acknowledged: int = 0
@@ -99,22 +99,22 @@
         return self.acknowledged + len(self.deliveries)
 
     def due_before(self, until_offset: int) -> int:
-        """Slots below this one must be delivered before the log may reach `until_offset`."""
+        """Slots below the returned one must be delivered before the log reaches `until_offset`."""
         steps = until_offset // self.samples_per_step - self.reorder_window_steps
         return max(0, steps) * self.samples_per_step
 
-    def hand_over_order(self) -> list[int]:
+    def delivery_order(self) -> list[int]:
         """Ready slots in delivery order: those that become stale at the next version come first.
 
         Among these, longer samples come first, so that the fewest tokens are discarded if not
         all of them fit. The others follow in slot order.
         """
 
-        def key(number: int) -> tuple[bool, int, int]:
-            sample = self.ready[number]
+        def key(slot_number: int) -> tuple[bool, int, int]:
+            sample = self.ready[slot_number]
             if self.age_of(sample) < self.staleness_bound:
-                return (True, 0, number)
-            return (False, -len(sample.tokens), number)
+                return (True, 0, slot_number)
+            return (False, -len(sample.tokens), slot_number)
 
         return sorted(self.ready, key=key)
 
@@ -218,8 +218,8 @@
         return Done()
 
     def _register_round(self, command: RegisterRound) -> CommandResult:
-        known = self.rounds.get(command.round_name)
-        if known is None:
+        existing = self.rounds.get(command.round_name)
+        if existing is None:
             self.rounds[command.round_name] = RoundState(
                 name=command.round_name,
                 staleness_bound=command.staleness_bound,
@@ -228,112 +228,114 @@
                 version=command.first_version,
             )
             return Done()
-        known.staleness_bound = command.staleness_bound
-        known.samples_per_step = command.samples_per_step
-        known.reorder_window_steps = command.reorder_window_steps
+        existing.staleness_bound = command.staleness_bound
+        existing.samples_per_step = command.samples_per_step
+        existing.reorder_window_steps = command.reorder_window_steps
         return Done(duplicate=True)
 
     def _submit_prompts(self, command: SubmitPrompts) -> CommandResult:
-        state = self.rounds.get(command.round_name)
-        if state is None:
+        round_state = self.rounds.get(command.round_name)
+        if round_state is None:
             return _unknown_round(command.round_name)
-        earlier = state.batches.get(command.batch_id)
+        earlier = round_state.batches.get(command.batch_id)
         if earlier is not None:
             return earlier
-        first_slot = state.next_slot
+        first_slot = round_state.next_slot
         for prompt in command.prompts:
-            state.open_slots[state.next_slot] = OpenSlot(prompt)
-            state.next_slot += 1
+            round_state.open_slots[round_state.next_slot] = OpenSlot(prompt)
+            round_state.next_slot += 1
         accepted = PromptsAccepted(first_slot, len(command.prompts))
-        state.batches[command.batch_id] = accepted
-        if len(state.batches) > MAX_REMEMBERED_BATCHES:
-            state.batches.pop(next(iter(state.batches)))
+        round_state.batches[command.batch_id] = accepted
+        if len(round_state.batches) > MAX_REMEMBERED_BATCHES:
+            round_state.batches.pop(next(iter(round_state.batches)))
         return accepted
 
     def _commit_sample(self, command: CommitSample) -> CommandResult:
-        state = self.rounds.get(command.round_name)
-        if state is None:
+        round_state = self.rounds.get(command.round_name)
+        if round_state is None:
             return _unknown_round(command.round_name)
         sample = command.sample
-        slot = state.open_slots.get(sample.slot)
+        slot = round_state.open_slots.get(sample.slot)
         if slot is None:
-            if sample.slot >= state.next_slot:
+            if sample.slot >= round_state.next_slot:
                 return Refused(ErrorKind.BAD_REQUEST, f"slot {sample.slot} does not exist")
             return Done(duplicate=True)
         if not segments_add_up(sample.segments, len(sample.tokens)):
             return SampleRefused("the sample's segments do not cover its tokens")
         if sample.prompt_id != slot.prompt.prompt_id:
             return SampleRefused("the sample belongs to a different prompt than its slot")
-        if state.age_of(sample) > state.staleness_bound:
+        if round_state.age_of(sample) > round_state.staleness_bound:
             slot.discarded_attempts += 1
-            state.discarded_tokens += len(sample.tokens)
+            round_state.discarded_tokens += len(sample.tokens)
             return SampleRefused("the sample exceeds the staleness bound")
-        del state.open_slots[sample.slot]
-        state.ready[sample.slot] = sample
-        state.slots_of_ready[sample.slot] = slot
+        del round_state.open_slots[sample.slot]
+        round_state.ready[sample.slot] = sample
+        round_state.slots_of_ready[sample.slot] = slot
         return Done()
 
     def _hand_over(self, command: HandOver) -> CommandResult:
-        state = self.rounds.get(command.round_name)
-        if state is None:
+        round_state = self.rounds.get(command.round_name)
+        if round_state is None:
             return _unknown_round(command.round_name)
-        self._reopen_stale_slots(state)
-        for number in state.hand_over_order():
-            if state.next_offset >= command.until_offset:
+        self._reopen_stale_slots(round_state)
+        for slot_number in round_state.delivery_order():
+            if round_state.next_offset >= command.until_offset:
                 break
-            sample = state.ready.pop(number)
-            del state.slots_of_ready[number]
-            state.deliveries.append(Delivery(state.next_offset, sample, state.version))
-            state.handed_over_at_version += 1
-        count = max(0, command.until_offset - state.acknowledged)
-        return DeliveryPage(state.deliveries[:count], state.version)
-
-    def _reopen_stale_slots(self, state: RoundState) -> None:
-        for number, sample in list(state.ready.items()):
-            if state.age_of(sample) > state.staleness_bound:
-                del state.ready[number]
-                slot = state.slots_of_ready.pop(number)
+            sample = round_state.ready.pop(slot_number)
+            del round_state.slots_of_ready[slot_number]
+            round_state.deliveries.append(
+                Delivery(round_state.next_offset, sample, round_state.version)
+            )
+            round_state.handed_over_at_version += 1
+        count = max(0, command.until_offset - round_state.acknowledged)
+        return DeliveryPage(round_state.deliveries[:count], round_state.version)
+
+    def _reopen_stale_slots(self, round_state: RoundState) -> None:
+        for slot_number, sample in list(round_state.ready.items()):
+            if round_state.age_of(sample) > round_state.staleness_bound:
+                del round_state.ready[slot_number]
+                slot = round_state.slots_of_ready.pop(slot_number)
                 slot.discarded_attempts += 1
-                state.open_slots = {number: slot, **state.open_slots}
-                state.discarded_tokens += len(sample.tokens)
+                round_state.open_slots = {slot_number: slot, **round_state.open_slots}
+                round_state.discarded_tokens += len(sample.tokens)
 
     def _acknowledge(self, command: AcknowledgeDeliveries) -> CommandResult:
-        state = self.rounds.get(command.round_name)
-        if state is None:
+        round_state = self.rounds.get(command.round_name)
+        if round_state is None:
             return _unknown_round(command.round_name)
-        if command.offset > state.next_offset:
+        if command.offset > round_state.next_offset:
             return Refused(
                 ErrorKind.BAD_REQUEST, f"offset {command.offset} has not been delivered yet"
             )
-        count = command.offset - state.acknowledged
+        count = command.offset - round_state.acknowledged
         if count <= 0:
             return Done(duplicate=True)
-        state.deliveries = state.deliveries[count:]
-        state.acknowledged = command.offset
+        round_state.deliveries = round_state.deliveries[count:]
+        round_state.acknowledged = command.offset
         return Done()
 
     def _publish_version(self, command: PublishVersion) -> CommandResult:
-        state = self.rounds.get(command.round_name)
-        if state is None:
+        round_state = self.rounds.get(command.round_name)
+        if round_state is None:
             return _unknown_round(command.round_name)
-        if command.version <= state.version:
+        if command.version <= round_state.version:
             return Done(duplicate=True)
-        step = command.version - state.version
+        step = command.version - round_state.version
         stale_offsets = [
             delivery.offset
-            for delivery in state.deliveries
-            if state.age_of(delivery.sample) + step > state.staleness_bound
+            for delivery in round_state.deliveries
+            if round_state.age_of(delivery.sample) + step > round_state.staleness_bound
         ]
         if stale_offsets:
-            # These are delivered but not acknowledged. They cannot be withdrawn, and with the
-            # new version they would exceed the staleness bound.
+            # A delivery cannot be withdrawn, and these would exceed the staleness bound with the
+            # new version.
             return Refused(
                 ErrorKind.STALE_DELIVERIES,
                 f"deliveries from offset {stale_offsets[0]} must be acknowledged first",
             )
-        state.version = command.version
-        state.handed_over_at_version = 0
-        self._reopen_stale_slots(state)
+        round_state.version = command.version
+        round_state.handed_over_at_version = 0
+        self._reopen_stale_slots(round_state)
         return Done()
 
     def _claim_key(self, command: ClaimKey) -> CommandResult:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -154,8 +154,9 @@
         "a second sample for a slot is accepted",
         "exactly once",
         "stileloom/ledger/state.py",
-        "        del state.open_slots[sample.slot]\n        state.ready[sample.slot] = sample",
-        "        state.ready[sample.slot + len(state.ready)] = sample",
+        "        del round_state.open_slots[sample.slot]\n"
+        "        round_state.ready[sample.slot] = sample",
+        "        round_state.ready[sample.slot + len(round_state.ready)] = sample",
         f"{PROMISES}::PromiseTest::test_samples_reach_their_trainer_exactly_once",
     ),
     Mutant(
