--- a/stileloom/lease/fence.py
+++ b/stileloom/lease/fence.py
@@ -1,4 +1,4 @@
-"""Fencing tokens: orders carry (epoch, sequence); receivers reject tokens lower than the last."""
+"""Fencing tokens: orders carry (epoch, sequence); receivers reject tokens below the highest."""
 
 from __future__ import annotations
 
--- a/stileloom/ledger/client.py
+++ b/stileloom/ledger/client.py
@@ -1,6 +1,6 @@
 """Sends a node's commands to the ledger's leader and retries them until a result arrives.
 
-Commands are idempotent, so a retry after a lost result is safe.
+A retried command may be applied twice; `ledger/commands.py` describes the effect of a repeat.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
         return effects
 
     def handle(self, now: float, sender: str, message: CommandAnswer) -> list[Effect]:
-        """Handles a result from the leader, or a hint at the current leader."""
+        """Handles a result, or a reply without one that may name the current leader."""
         if message.result is not None:
             if self._pending.pop(message.ticket, None) is None:
                 return []
--- a/stileloom/ledger/electorate.py
+++ b/stileloom/ledger/electorate.py
@@ -1,9 +1,9 @@
 """Quorum rules for elections and commits.
 
 The quorum is usually a majority of the voter set. With two voters both must agree, so each disk
-holds every committed entry. Once one of the two disks is proved lost, the other voter decides
-alone. It must know that the set of two is committed; until then the previous set could still
-form a quorum, so a majority of the previous set is required as well.
+holds every committed entry. Once one of the two disks is proved lost, the other voter is a quorum
+by itself, provided that it knows that the set of two is committed. Otherwise the previous set
+could still form a quorum, so a majority of the previous set is required as well.
 
 The specification is `tests/two_voter_spec.py`.
 """
@@ -20,7 +20,7 @@
 
 
 class Electorate:
-    """Voter sets; a quorum needs a majority of each."""
+    """One or more voter sets; a quorum needs a majority of each."""
 
     def __init__(self, sets: list[list[Voter]]) -> None:
         self._sets = sets
@@ -82,5 +82,6 @@
             self.lost_disks.add(voter)
             return None
         if voter not in self._nonces:
+            # Never 0: an `answer_to` of 0 means that the hello is unsolicited.
             self._nonces[voter] = self._rng.getrandbits(NONCE_BITS) + 1
         return self._nonces[voter]
--- a/stileloom/ledger/messages.py
+++ b/stileloom/ledger/messages.py
@@ -69,7 +69,7 @@
     entries: list[Entry]
     commit_index: int
     nonce: int
-    """Matches the reply to the send time, for the leader's lease."""
+    """Echoed in the reply, so that the leader can derive its lease from the send time."""
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
@@ -79,7 +79,7 @@
     follower: Voter
     success: bool
     match_index: int
-    """With `success` the last matching durable index, else the index to try next."""
+    """With `success` the last matching durable index, else the `previous_index` to try next."""
     nonce: int
 
 
@@ -93,7 +93,7 @@
 
 
 class LearnerHello(msgspec.Struct, frozen=True, tag=True):
-    """A replica outside the voter set announces itself to the leader."""
+    """Announces a replica outside the voter set."""
 
     learner: Voter
     answer_to: int = 0
@@ -114,9 +114,9 @@
 
 
 class CommandAnswer(msgspec.Struct, frozen=True, tag=True):
-    """The result of the applied command, or None if the receiver is not the leader."""
+    """The result of an applied command, or None from a node that is not the leader."""
 
     ticket: int
     result: CommandResult | None
     leader: str
-    """The leader known to the receiver; empty if unknown."""
+    """The leader known to the answering node; empty if unknown."""
--- a/stileloom/ledger/order_windows.py
+++ b/stileloom/ledger/order_windows.py
@@ -1,11 +1,11 @@
 """Earliest time at which a new leader may send orders to samplers. No I/O, no clock.
 
 Samplers do not have to check fencing tokens, so orders of two leaders must be at least one lease
-apart. A leader therefore sends orders only within a window: for `ORDER_WINDOW_S` after it
-proposed `OpenOrderWindow`, and only once that entry is committed. A later leader has the entry in
-its log; the window ends at most `ORDER_WINDOW_S` after the entry was observed there. The new
-leader waits one lease from that point, not from its election. It does not wait if the last
-window was its own or if there was none.
+apart. A leader therefore sends orders only within a window, which starts when its
+`OpenOrderWindow` is committed and ends `ORDER_WINDOW_S` after it was proposed. A later leader
+also has this command in its state; `ORDER_WINDOW_S` after it first saw it there, the window has
+certainly ended. From then on it waits `MAX_ORDER_DELAY_S` and one lease. It does not wait if the
+last window was its own or if there was none.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 class OrderWindows(msgspec.Struct):
-    """The order windows of all leaders as observed by one node, in its own monotonic time."""
+    """The order windows of all leaders as observed by one node. Times are monotonic seconds."""
 
     opened: int = 0
     """Number of windows opened so far."""
     observed_at: float = float("-inf")
-    """When the newest window was first observed."""
+    """When this node first saw the newest window in its ledger state."""
 
     def learned(self, opened: int, now: float) -> None:
         """Records the number of windows in the ledger's current state."""
--- a/stileloom/ledger/peer_addresses.py
+++ b/stileloom/ledger/peer_addresses.py
@@ -2,8 +2,8 @@
 
 There are three sources: frames contain their sender's address, the object store lists registered
 nodes, and the settings contain addresses without node names. A message for a node whose address
-is unknown is sent to all addresses that belong to no known node: other receivers ignore it or
-reply under their own name.
+is unknown is sent to all addresses that are not currently assigned to a node; a node that it is
+not meant for ignores it or replies under its own name.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class PeerAddresses:
-    """Addresses by node, and addresses whose node is unknown."""
+    """Addresses by node, and all addresses from the settings and the object store."""
 
     def __init__(self, me: Address, seeds: list[Address]) -> None:
         self._me = me
         self._by_node: dict[str, Address] = {}
-        self._unnamed = set(seeds)
+        self._configured_or_registered = set(seeds)
 
     def record_sender(self, node_id: str, address: Address) -> None:
         """Records the sender address of a frame; it replaces any earlier address."""
@@ -26,7 +26,7 @@
     def listed(self, node_id: str, address: Address) -> None:
         """Records an address from the object store; addresses from frames take precedence."""
         self._by_node.setdefault(node_id, address)
-        self._unnamed.add(address)
+        self._configured_or_registered.add(address)
 
     def of(self, node_id: str) -> Address | None:
         """The address of a node, or None if unknown."""
@@ -34,10 +34,10 @@
 
     def everyone(self) -> list[Address]:
         """All known addresses except this node's own."""
-        return sorted({*self._by_node.values(), *self._unnamed} - {self._me})
+        return sorted({*self._by_node.values(), *self._configured_or_registered} - {self._me})
 
     def targets(self, node_id: str) -> list[Address]:
-        """Addresses to send a message for a node to."""
+        """The addresses to which a message for the node is sent."""
         known = self._by_node.get(node_id)
         if known is not None:
             return [known]
--- a/stileloom/ledger/recovered.py
+++ b/stileloom/ledger/recovered.py
@@ -32,11 +32,11 @@
 
 
 def last_leader(recovered: RecoveredLedger, state: LedgerState) -> str:
-    """The leader when the disk was last written; empty if it cannot be determined.
+    """The leader of the epoch on disk; empty if the disk does not determine it.
 
     Each leader's first entry is `StartEpoch`. If the epoch on disk is later than that of the last
-    entry, this replica may have confirmed a different leader since. `state` is the state after
-    the committed entries.
+    entry, this replica may have confirmed the lease of a leader whose entries it lacks. `state` is
+    the state after the committed entries.
     """
     last_epoch = recovered.entries[-1].epoch if recovered.entries else recovered.snapshot.last_epoch
     if recovered.hard_state.epoch != last_epoch:
--- a/stileloom/ledger/registration.py
+++ b/stileloom/ledger/registration.py
@@ -34,8 +34,11 @@
 
 
 def read_registrations(records: Iterable[ObjectRecord]) -> dict[str, LedgerRegistration]:
-    """Entries by node. Malformed entries are skipped: other clients write to the object store, and
-    one malformed entry must not hide the others."""
+    """The entries by node.
+
+    Malformed entries are skipped, because other clients also write to the object store and one of
+    their mistakes must not hide the valid entries.
+    """
     found: dict[str, LedgerRegistration] = {}
     for record in records:
         registration = _parse(record.spec)
--- a/stileloom/ledger/standbys.py
+++ b/stileloom/ledger/standbys.py
@@ -1,8 +1,9 @@
-"""Replicas outside the voter set, and which of them receive the log.
+"""Standbys: replicas outside the voter set, and which of them receive the log.
 
 A deployment may have many more disks than voters. A standby holds no copy of the ledger: it
-sends a hello periodically and is told who leads. The leader replicates the log to it only when
-a voter is unresponsive, has lost its disk or is being retired.
+sends a hello periodically and is told who leads. When a voter is unresponsive, has lost its disk
+or is being retired, the leader replicates the log to a standby, which is then a learner and may
+become a voter.
 """
 
 from __future__ import annotations
@@ -59,9 +60,9 @@
     def select_replacements(
         self, now: float, health: VoterHealth, target_count: int
     ) -> list[Voter]:
-        """The standbys to replicate to: one for each healthy voter that is missing.
+        """The standbys to replicate to: as many as healthy voters are missing.
 
-        Nodes whose previous disk is a voter come first, so that the set of nodes stays stable.
+        Nodes with another disk in the voter set come first, so that the set of nodes stays stable.
         """
         missing = target_count - len(health.healthy)
         if missing <= 0:
--- a/stileloom/ledger/storage.py
+++ b/stileloom/ledger/storage.py
@@ -1,9 +1,9 @@
 """Files of a ledger replica: an append-only journal and the newest snapshot.
 
 The journal is a sequence of records, each a length, a 64-bit hash and a msgpack body. A record
-that is truncated or does not match its hash ends the journal: the process ended during the
-write, so the record was never reported as durable. A snapshot is written to a temporary file,
-synced and renamed; the journal is then rewritten.
+that is truncated or does not match its hash ends the journal: the process or the machine stopped
+during the write, so the record was never reported as durable. A snapshot is written to a
+temporary file, synced and renamed; the journal is then rewritten.
 
 Writes may fail temporarily, for example on a full disk. A failed write is truncated from the
 journal and may be retried: its entries replace those at the same indexes.
@@ -113,11 +113,12 @@
         self._add_entries(record)
 
     def _add_entries(self, record: AppendRecord) -> None:
-        limits = [record.truncate_from] if record.truncate_from is not None else []
-        limits += [entry.index for entry in record.entries[:1]]
-        if limits and self._entries and self._entries[-1].index >= min(limits):
-            limit = min(limits)
-            self._entries = [entry for entry in self._entries if entry.index < limit]
+        """Appends the record's entries after removing those at or after their first index."""
+        starts = [record.truncate_from] if record.truncate_from is not None else []
+        starts += [entry.index for entry in record.entries[:1]]
+        if starts and self._entries and self._entries[-1].index >= min(starts):
+            start = min(starts)
+            self._entries = [entry for entry in self._entries if entry.index < start]
         self._entries.extend(record.entries)
         self._commit_index = max(self._commit_index, record.commit_index)
 
@@ -129,7 +130,7 @@
         self._open_journal()
 
     def write(self, writes: list[Persist]) -> None:
-        """Makes writes durable in order, with one sync unless they include a snapshot.
+        """Makes writes durable in order, with a single sync if they contain no snapshot.
 
         Raises `OSError` if the disk rejects a write; the same writes may then be retried.
         """
@@ -163,7 +164,7 @@
         self._synced_commit_index = self._commit_index
 
     def _write_snapshot(self, snapshot: SnapshotRecord) -> None:
-        """Replaces the snapshot, then the journal, without the entries that the snapshot covers."""
+        """Replaces the snapshot, then rewrites the journal with only the entries after it."""
         self._replace(SNAPSHOT_NAME, msgspec.msgpack.encode(snapshot))
         kept = [entry for entry in self._entries if entry.index > snapshot.last_index]
         consecutive = bool(kept) and kept[0].index == snapshot.last_index + 1
--- a/stileloom/ledger/voters.py
+++ b/stileloom/ledger/voters.py
@@ -19,12 +19,12 @@
 ) -> list[Voter] | None:
     """The next voter set, or None if no change is due.
 
-    `unavailable` are nodes that do not reply, `retiring` are nodes that are being retired.
+    `unavailable` are the nodes that do not reply, `retiring` those that are being retired.
     """
     for learner in caught_up_learners:
         for voter in voters:
-            lost_disk = voter.node_id == learner.node_id and voter.disk_id != learner.disk_id
-            if lost_disk and len(voters) > 1:
+            disk_replaced = voter.node_id == learner.node_id and voter.disk_id != learner.disk_id
+            if disk_replaced and len(voters) > 1:
                 return [other for other in voters if other != voter]
     voter_nodes = {voter.node_id for voter in voters}
     candidates = [
