--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -516,8 +516,8 @@
     def _may_campaign(self) -> bool:
         """Whether this replica may start an election.
 
-        A replica whose removal is committed campaigns only if a voter has lost its disk: its own
-        log may then be the only one with all committed entries.
+        A replica whose removal is committed campaigns only if a voter has lost its disk: a
+        remaining voter with a shorter log may need this replica's vote and cannot get it.
         """
         removed = not self.is_voter and self._log.voters_at(self._commit_index) == self.voters
         voter_lost_disk = not self._lost_disk_detector.lost_disks.isdisjoint(self.voters)
--- a/tests/lease_spec.py
+++ b/tests/lease_spec.py
@@ -1,19 +1,21 @@
-"""Specification of the leader's lease: elections, hand-over and restarts.
+"""Specification of the leader's lease: elections, transfers of leadership and restarts.
 
 Logs are omitted (see `tests/ledger_spec.py`). A promise is a voter's commitment to elect no other
 leader for a time. Time is abstract: a confirmation held by a leader may expire at any step, and
 the matching promise expires at the voter only later, because a lease is shorter than a promise.
-Actions are named after the messages in the code:
-
-    Confirm          a voter replies to a leader's heartbeat and makes a promise
-    LapseConfirmed   a confirmation expires at the leader
-    LapsePromise     a promise expires at the voter
-    Campaign         a replica without a promise requests votes
-    HandOver         a leader steps down and asks a follower to start an election
-    TakeOver         the follower requests votes that override promises
-    Vote             a replica replies to a vote request
-    Restart          a replica loses its role and the end of its promise; until a full promise
-                     period has passed it votes only for the leader on its disk, if current
+Actions:
+
+    Confirm              a voter replies to a leader's heartbeat and makes a promise
+    ConfirmUnlogged      the same, but the leader's first entry is not yet in the voter's log
+    ExpireConfirmation   a confirmation expires at the leader
+    ExpirePromise        a promise expires at the voter
+    StartElection        a replica without a promise requests votes
+    HandOver             a leader steps down and asks a follower to start an election
+    AcceptHandOver       the follower requests votes that override promises
+    Vote                 a replica replies to a vote request
+    BecomeLeader         a candidate has the votes of a majority
+    Restart              a replica loses its role and assumes that it made a promise just before;
+                         until that expires it votes only for the leader of the epoch on its disk
 
 Invariant: at most one replica is active, that is, a leader with confirmations of a majority.
 """
@@ -51,7 +53,7 @@
     restarts: int = 1
 
 
-class Spec(NamedTuple):
+class State(NamedTuple):
     """One state. Tuples are indexed by replica."""
 
     epoch: tuple[int, ...]
@@ -65,13 +67,13 @@
     logged_leader: tuple[tuple[int, int], ...]
     """Recorded on disk: the last leader that a replica followed, and its epoch."""
     previous_leader: tuple[int, ...]
-    """The leader that a restarted replica may vote for immediately, or none."""
+    """The leader that a restarted replica may vote for despite a promise, or none."""
     confirmed: tuple[frozenset[int], ...]
     """The voters whose confirmations are valid at a leader."""
     promise: tuple[bool, ...]
     """Whether a voter is bound by a promise."""
     confirmed_leaders: tuple[frozenset[int], ...]
-    """The leaders at which a confirmation of this voter may still be valid."""
+    """The leaders that still hold a confirmation of this voter."""
     requests: frozenset[tuple[int, int, bool]]
     """Vote requests in transit: epoch, candidate, whether they override promises."""
     votes: frozenset[tuple[int, int, int]]
@@ -82,7 +84,7 @@
     restarts_left: int
 
 
-def active_leaders(state: Spec) -> list[int]:
+def active_leaders(state: State) -> list[int]:
     """The active leaders."""
     return [
         replica
@@ -91,7 +93,7 @@
     ]
 
 
-def enter_epoch(state: Spec, replica: int, epoch: int) -> Spec:
+def enter_epoch(state: State, replica: int, epoch: int) -> State:
     """A replica steps down and enters a later epoch."""
     return state._replace(
         epoch=put(state.epoch, replica, epoch),
@@ -104,8 +106,8 @@
     )
 
 
-def campaign(state: Spec, replica: int, overrides_promises: bool) -> Spec:
-    """A replica requests votes in the next epoch."""
+def start_election(state: State, replica: int, overrides_promises: bool) -> State:
+    """A replica enters the next epoch as a candidate and requests votes."""
     epoch = state.epoch[replica] + 1
     entered = enter_epoch(state, replica, epoch)
     return entered._replace(
@@ -119,7 +121,7 @@
 def make_lease_protocol(bounds: LeaseBounds, rules: LeaseRules) -> Protocol:
     """The protocol within these bounds, under these rules."""
     # Replica 0 was just elected with the vote of replica 1.
-    initial = Spec(
+    initial = State(
         epoch=(1, 1, 0),
         voted_for=(0, 0, NO_NODE),
         candidate=(False,) * REPLICAS,
@@ -138,8 +140,8 @@
     )
 
     def transitions(raw: tuple) -> list[tuple[str, tuple]]:
-        state = Spec(*raw)
-        found: list[tuple[str, Spec]] = []
+        state = State(*raw)
+        found: list[tuple[str, State]] = []
         for replica in range(REPLICAS):
             found += elections(state, replica)
             found += leases(state, replica)
@@ -147,13 +149,13 @@
             found += restarts(state, replica)
         return [(label, tuple(after)) for label, after in found if after != state]
 
-    def elections(state: Spec, replica: int) -> list[tuple[str, Spec]]:
-        found: list[tuple[str, Spec]] = []
+    def elections(state: State, replica: int) -> list[tuple[str, State]]:
+        found: list[tuple[str, State]] = []
         bound = state.promise[replica] and rules.promises_are_binding
         bound = bound and state.previous_leader[replica] != replica
-        may_campaign = not state.is_leader[replica] and not bound
-        if may_campaign and state.epoch[replica] < bounds.epochs:
-            found.append((f"Campaign({replica})", campaign(state, replica, False)))
+        may_start_election = not state.is_leader[replica] and not bound
+        if may_start_election and state.epoch[replica] < bounds.epochs:
+            found.append((f"StartElection({replica})", start_election(state, replica, False)))
         for request in state.requests:
             found += vote(state, replica, request)
         epoch = state.epoch[replica]
@@ -168,10 +170,10 @@
                 logged_leader=put(state.logged_leader, replica, (replica, epoch)),
                 previous_leader=put(state.previous_leader, replica, NO_NODE),
             )
-            found.append((f"Win({replica})", elected))
+            found.append((f"BecomeLeader({replica})", elected))
         return found
 
-    def vote(state: Spec, replica: int, request: tuple[int, int, bool]) -> list[tuple[str, Spec]]:
+    def vote(state: State, replica: int, request: tuple[int, int, bool]) -> list[tuple[str, State]]:
         epoch, candidate, overrides_promises = request
         bound = state.promise[replica] and state.previous_leader[replica] != candidate
         bound = bound or replica in active_leaders(state)
@@ -189,30 +191,30 @@
         )
         return [(f"Vote({replica} for {candidate})", granted)]
 
-    def leases(state: Spec, replica: int) -> list[tuple[str, Spec]]:
-        found: list[tuple[str, Spec]] = []
+    def leases(state: State, replica: int) -> list[tuple[str, State]]:
+        found: list[tuple[str, State]] = []
         for voter in set(range(REPLICAS)) - {replica}:
             if state.is_leader[replica] and state.epoch[voter] <= state.epoch[replica]:
                 confirmed = confirm(state, replica, voter)
                 found.append((f"Confirm({replica}, {voter})", confirmed))
                 if bounds.restarts:
-                    # Its log does not match the leader's yet; only the epoch is on its disk.
+                    # The voter's disk has the epoch, but not yet the entry that names the leader.
                     unlogged = confirmed._replace(logged_leader=state.logged_leader)
                     found.append((f"ConfirmUnlogged({replica}, {voter})", unlogged))
         for voter in state.confirmed[replica]:
-            lapsed = state._replace(
+            expired = state._replace(
                 confirmed=put(state.confirmed, replica, state.confirmed[replica] - {voter}),
                 confirmed_leaders=put(
                     state.confirmed_leaders, voter, state.confirmed_leaders[voter] - {replica}
                 ),
             )
-            found.append((f"LapseConfirmed({replica}, {voter})", lapsed))
+            found.append((f"ExpireConfirmation({replica}, {voter})", expired))
         if state.promise[replica] and not state.confirmed_leaders[replica]:
-            released = state._replace(promise=put(state.promise, replica, False))
-            found.append((f"LapsePromise({replica})", released))
+            expired = state._replace(promise=put(state.promise, replica, False))
+            found.append((f"ExpirePromise({replica})", expired))
         return found
 
-    def confirm(state: Spec, leader: int, voter: int) -> Spec:
+    def confirm(state: State, leader: int, voter: int) -> State:
         if state.epoch[voter] < state.epoch[leader]:
             state = enter_epoch(state, voter, state.epoch[leader])
         return state._replace(
@@ -226,8 +228,8 @@
             confirmed=put(state.confirmed, leader, state.confirmed[leader] | {voter}),
         )
 
-    def hand_overs(state: Spec, replica: int) -> list[tuple[str, Spec]]:
-        found: list[tuple[str, Spec]] = []
+    def hand_overs(state: State, replica: int) -> list[tuple[str, State]]:
+        found: list[tuple[str, State]] = []
         if state.is_leader[replica] and state.hand_overs_left:
             for successor in set(range(REPLICAS)) - {replica}:
                 message = (state.epoch[replica], replica, successor)
@@ -250,10 +252,10 @@
             is_valid = current or not rules.hand_over_matches_epoch
             if successor == replica and is_valid and state.epoch[replica] < bounds.epochs:
                 taken = state._replace(hand_overs=state.hand_overs - {message})
-                found.append((f"TakeOver({replica})", campaign(taken, replica, True)))
+                found.append((f"AcceptHandOver({replica})", start_election(taken, replica, True)))
         return found
 
-    def restarts(state: Spec, replica: int) -> list[tuple[str, Spec]]:
+    def restarts(state: State, replica: int) -> list[tuple[str, State]]:
         if not state.restarts_left:
             return []
         leader, epoch = state.logged_leader[replica]
@@ -265,7 +267,7 @@
             known_leader=put(state.known_leader, replica, NO_NODE),
             confirmed=put(state.confirmed, replica, frozenset()),
             confirmed_leaders=tuple(leaders - {replica} for leaders in state.confirmed_leaders),
-            # Confirmations are not on disk, so it assumes that it made a promise.
+            # Promises are not on disk, so the replica assumes that it made one.
             promise=put(state.promise, replica, rules.restart_waits),
             restarts_left=state.restarts_left - 1,
         )
@@ -274,10 +276,10 @@
     return Protocol(
         name="lease",
         candidate=False,
-        fields=Spec._fields,
+        fields=State._fields,
         initial=tuple(initial),
         transitions=transitions,
         invariants={
-            "at_most_one_active_leader": lambda state: len(active_leaders(Spec(**state))) <= 1,
+            "at_most_one_active_leader": lambda state: len(active_leaders(State(**state))) <= 1,
         },
     )
--- a/tests/ledger_spec.py
+++ b/tests/ledger_spec.py
@@ -1,11 +1,11 @@
 """Specification of the ledger: epochs, votes with disk identities, commits.
 
 There are three voters and one spare disk that may replace a lost one. A log entry is represented
-by the epoch that wrote it. Actions are named after the messages and effects in the code:
+by the epoch that wrote it. Actions:
 
     StartElection   a voter raises its epoch and votes for itself (durable)
     VoteReply       a voter grants its vote in an epoch
-    BecomeLeader    a majority of the voter set has granted
+    BecomeLeader    a candidate has the votes of a majority of the voter set
     Append          the leader adds an entry of its epoch
     AppendRequest   a follower copies the leader's log up to some length (durable)
     LearnEpoch      a node receives a higher epoch
@@ -13,7 +13,7 @@
     LoseDisk        a voter's disk is replaced: its identity is not in the voter set
     ChangeVoters    the leader removes the lost identity, then adds the new one
 
-Invariants: at most one leader in an epoch, and a committed entry is never lost.
+Invariants: at most one leader per epoch, and a committed entry is never lost.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 LOST_IDENTITY = -2
 
 
-class Spec(NamedTuple):
+class State(NamedTuple):
     """One state. Tuples are indexed by node."""
 
     epochs: tuple[int, ...]
@@ -45,8 +45,9 @@
     disk_lost: tuple[bool, ...]
     """The node's disk was replaced and its identity is not in the voter set."""
     losses: int
+    """How many disks were lost so far."""
     candidates: tuple[bool, ...]
-    """Nodes with an election in progress; following a leader of the same epoch ends it."""
+    """Nodes with an election in progress; it ends when the node follows a leader."""
 
 
 class Bounds(NamedTuple):
@@ -57,9 +58,9 @@
     max_losses: int = 1
 
 
-def initial_state(bounds: Bounds) -> Spec:
+def initial_state(bounds: Bounds) -> State:
     """Three voters with empty logs."""
-    return Spec(
+    return State(
         epochs=(0,) * NODES,
         votes=(NO_NODE,) * NODES,
         logs=((),) * NODES,
@@ -79,7 +80,7 @@
 
 
 def up_to_date(candidate: tuple[int, ...], voter: tuple[int, ...]) -> bool:
-    """Raft, section 5.4.1."""
+    """Whether the candidate's log is at least as up-to-date (Raft, section 5.4.1)."""
     last = lambda log: log[-1] if log else 0  # noqa: E731
     return (last(candidate), len(candidate)) >= (last(voter), len(voter))
 
@@ -93,11 +94,11 @@
     commits entries of earlier epochs by counting replicas.
     """
 
-    def may_vote(state: Spec, node: int) -> bool:
+    def may_vote(state: State, node: int) -> bool:
         return amnesia or not state.disk_lost[node]
 
     def transitions(raw: tuple) -> list[tuple[str, tuple]]:
-        state = Spec(*raw)
+        state = State(*raw)
         found: list[tuple[str, tuple]] = []
         for node in range(NODES):
             found += elections(state, node)
@@ -107,7 +108,7 @@
                 found.append((f"LoseDisk({node})", lose_disk(state, node)))
         return found
 
-    def elections(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def elections(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
         if may_vote(state, node) and epoch < bounds.max_epoch:
@@ -136,8 +137,8 @@
             found.append((f"BecomeLeader({node})", tuple(elected)))
         return found
 
-    def votes_for(state: Spec, node: int, voter: int) -> list[tuple[str, tuple]]:
-        """Votes in the candidate's epoch, or for a delayed request of an earlier epoch."""
+    def votes_for(state: State, node: int, voter: int) -> list[tuple[str, tuple]]:
+        """Votes for a candidate in its epoch, or for its delayed request of an earlier epoch."""
         found: list[tuple[str, tuple]] = []
         voted_for_self = state.votes[node] == node
         for epoch in range(max(1, state.epochs[voter]), state.epochs[node] + 1):
@@ -155,7 +156,7 @@
                     found.append((f"VoteReply({voter},{node})", tuple(granted)))
         return found
 
-    def leader_actions(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def leader_actions(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
         if not epoch or state.leaders[epoch] != node:
@@ -171,7 +172,7 @@
         found += voter_changes(state, node, log)
         return found
 
-    def appends(state: Spec, node: int, follower: int) -> list[tuple[str, tuple]]:
+    def appends(state: State, node: int, follower: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch, log = state.epochs[node], state.logs[node]
         vote = state.votes[follower] if state.epochs[follower] == epoch else NO_NODE
@@ -188,7 +189,7 @@
                 found.append((f"AppendRequest({node},{follower})", tuple(followed)))
         return found
 
-    def learn_epochs(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def learn_epochs(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         for epoch in {other for other in state.epochs if other > state.epochs[node]}:
             updated = state._replace(
@@ -200,7 +201,7 @@
         return found
 
     def commits(
-        state: Spec, node: int, log: tuple[int, ...], epoch: int
+        state: State, node: int, log: tuple[int, ...], epoch: int
     ) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         for length in range(len(state.committed) + 1, len(log) + 1):
@@ -215,10 +216,10 @@
                 found.append((f"Commit({node},{length})", tuple(advanced)))
         return found
 
-    def voter_changes(state: Spec, node: int, log: tuple[int, ...]) -> list[tuple[str, tuple]]:
-        """The new identity votes once it has the complete log of a leader that commits.
+    def voter_changes(state: State, node: int, log: tuple[int, ...]) -> list[tuple[str, tuple]]:
+        """Adds the new identity of a node that lost its disk, once it has the leader's log.
 
-        The lost identity is removed first. The remaining set of two commits only with both nodes,
+        The lost identity is removed before. Committing that removal takes both remaining voters,
         so both follow this leader in its epoch and have its log.
         """
         found: list[tuple[str, tuple]] = []
@@ -237,7 +238,7 @@
                 found.append((f"ChangeVoters({node},{other})", tuple(added)))
         return found
 
-    def lose_disk(state: Spec, node: int) -> tuple:
+    def lose_disk(state: State, node: int) -> tuple:
         leaders = tuple(NO_NODE if leader == node else leader for leader in state.leaders)
         # Votes name a disk identity, so votes for the lost one no longer count.
         votes = tuple(LOST_IDENTITY if vote == node else vote for vote in state.votes)
@@ -257,7 +258,7 @@
     return Protocol(
         name="ledger",
         candidate=False,
-        fields=Spec._fields,
+        fields=State._fields,
         initial=tuple(initial_state(bounds)),
         transitions=transitions,
         invariants={
--- a/tests/test_lease_spec.py
+++ b/tests/test_lease_spec.py
@@ -11,7 +11,7 @@
 REFUTED_WITHIN_STATES = 60_000
 HAND_OVER = LeaseBounds(epochs=3, hand_overs=1, restarts=0)
 RESTART = LeaseBounds(epochs=3, hand_overs=0, restarts=1)
-BOTH = LeaseBounds(epochs=2, hand_overs=1, restarts=1)
+HAND_OVER_AND_RESTART = LeaseBounds(epochs=2, hand_overs=1, restarts=1)
 
 
 def refuted(bounds: LeaseBounds, rules: LeaseRules) -> bool:
@@ -28,7 +28,9 @@
         self.assertEqual({"at_most_one_active_leader": True}, holds(report))
 
     def test_invariant_holds_with_hand_overs_and_restarts(self) -> None:
-        report = check_safety(make_lease_protocol(BOTH, LeaseRules()), max_states=MAX_STATES)
+        report = check_safety(
+            make_lease_protocol(HAND_OVER_AND_RESTART, LeaseRules()), max_states=MAX_STATES
+        )
         self.assertEqual({"at_most_one_active_leader": True}, holds(report))
 
     def test_a_leader_that_stays_active_after_its_hand_over_is_refuted(self) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -57,6 +57,7 @@
 
 VOTERS = [Voter(name, f"disk-{name}") for name in ("a", "b", "c")]
 LATER = 5.0
+"""Time at which the election timeout of a replica that started at 0 has expired."""
 LEASE_S = 3.0
 
 
@@ -71,7 +72,7 @@
 
 
 class ReplicaTest(testtools.TestCase):
-    """A single replica with hand-written messages."""
+    """A single replica; the test writes the messages of the others."""
 
     def replica(self, me: Voter) -> LedgerReplica:
         """A replica at time 0."""
@@ -89,7 +90,7 @@
         self.assertTrue(reply.success)
         self.assertEqual(1, reply.match_index)
 
-    def test_a_vote_is_given_only_once_it_is_durable(self) -> None:
+    def test_a_vote_is_sent_only_once_it_is_durable(self) -> None:
         replica = self.replica(VOTERS[1])
         effects = replica.handle(LATER, "a", VoteRequest(1, VOTERS[0], 0, 0, trial=False))
         self.assertEqual([], [e for e in effects if isinstance(e, Send)])
@@ -272,7 +273,7 @@
 
 
 class StateTest(testtools.TestCase):
-    """The state machine; commands may be applied twice."""
+    """The state machine, including repeated commands."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -344,7 +345,7 @@
 
 
 class HandOverTest(testtools.TestCase):
-    """Leadership transfer from a leader that stops."""
+    """Transfer of leadership from a leader that stops."""
 
     def test_the_successor_is_elected_immediately_and_the_old_leader_steps_down(self) -> None:
         replicas = {
@@ -406,7 +407,7 @@
         ]
 
     def answer_all(self, replica: LedgerReplica, now: float, effects: list) -> None:
-        """Followers accept every request."""
+        """Both followers accept all append requests, including those that a reply triggers."""
         for voter in VOTERS[1:]:
             for request in self.requests(effects, voter.node_id):
                 match = request.previous_index + len(request.entries)
@@ -421,13 +422,13 @@
             effects = replica.propose(now, RaiseConfigurationFloor(number), object())
             pipelined += self.requests(effects, "b")
         self.assertEqual(20, len(pipelined))
-        answers: list[AppendRequest] = []
+        probes: list[AppendRequest] = []
         for request in pipelined:
             reply = AppendReply(1, VOTERS[1], False, request.previous_index - 1, request.nonce)
-            answers += self.requests(replica.handle(now, "b", reply), "b")
-        self.assertEqual([0], [len(answer.entries) for answer in answers])
+            probes += self.requests(replica.handle(now, "b", reply), "b")
+        self.assertEqual([0], [len(probe.entries) for probe in probes])
         # The reply to the probe resumes replication after the last common entry.
-        (probe,) = answers
+        (probe,) = probes
         probe_reply = AppendReply(1, VOTERS[1], True, probe.previous_index, probe.nonce)
         sent = self.requests(replica.handle(now, "b", probe_reply), "b")
         self.assertEqual([probe.previous_index], [request.previous_index for request in sent])
@@ -445,7 +446,7 @@
     def run_without_c(
         self, replica: LedgerReplica, now: float
     ) -> tuple[float, list[AppendRequest]]:
-        """Runs two seconds in which c does not reply; returns the requests sent to standby d."""
+        """Runs two seconds without replies of c; returns the time and the requests to standby d."""
         learner = Voter("d", "disk-d")
         sent: list[AppendRequest] = []
         for _ in range(20):
@@ -537,7 +538,7 @@
         return LedgerReplica(VOTERS[0], recovered, random.Random(3), 0.0)
 
     def run_elections(self, replica: LedgerReplica, now: float) -> list[Effect]:
-        """Ticks past the election timeout; writes are durable immediately."""
+        """Ticks past the election timeout and returns all effects; writes are durable at once."""
         found: list[Effect] = []
         for _ in range(40):
             now += 0.1
@@ -581,13 +582,13 @@
         other = Voter("b", "new-disk")
         nonce = self.identity_nonce(replica.handle(1.0, "b", LearnerHello(other)))
         replica.handle(1.0, "b", LearnerHello(other, nonce))
-        asked = [
+        sent_to_c = [
             effect.message
             for effect in self.run_elections(replica, 1.0)
             if isinstance(effect, Send) and effect.to == "c"
         ]
         self.assertNotEqual(ReplicaRole.LEADER, replica.role)
-        self.assertIsInstance(asked[-1], VoteRequest)
+        self.assertIsInstance(sent_to_c[-1], VoteRequest)
         replica.handle(5.0, "c", VoteReply(2, VOTERS[2], True, trial=True))
         replica.handle(5.0, "c", VoteReply(2, VOTERS[2], True, trial=False))
         self.assertIs(ReplicaRole.LEADER, replica.role)
@@ -605,7 +606,7 @@
         self.assertEqual([], [e for e in sent if isinstance(e.message, VoteRequest)])
 
     def test_a_voter_that_was_left_out_leads_until_a_voter_has_its_longer_log(self) -> None:
-        """Only c holds the last entry; a lost its disk before b received it."""
+        """Only c has the last entry: a lost its disk before b received it."""
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(1, VOTERS[0])
         recovered.entries = [entry(1), Entry(2, 1, ChangeVoters(VOTERS[:2])), entry(3)]
@@ -620,8 +621,8 @@
         effects = replica.handle(now, "b", VoteReply(2, VOTERS[1], True, trial=False))
         self.assertIs(ReplicaRole.LEADER, replica.role)
         requests = [e.message for e in effects if isinstance(e, Send) and e.to == "b"]
-        (start,) = [m for m in requests if isinstance(m, AppendRequest)]
-        replica.handle(now, "b", AppendReply(2, VOTERS[1], True, 4, start.nonce))
+        (request,) = [m for m in requests if isinstance(m, AppendRequest)]
+        replica.handle(now, "b", AppendReply(2, VOTERS[1], True, 4, request.nonce))
         sent = [e.message for e in replica.tick(now + 0.05) if isinstance(e, Send)]
         self.assertEqual([HandOverMessage(2)], sent)
 
@@ -647,7 +648,7 @@
 
 
 class OrderWindowTest(testtools.TestCase):
-    """A new leader sends orders one lease after another leader's last window at the earliest."""
+    """A new leader sends no order until one lease after the last window of another leader."""
 
     def test_the_wait_starts_when_the_window_is_observed_not_at_the_election(self) -> None:
         windows = OrderWindows()
@@ -682,7 +683,7 @@
         self.assertGreater(min(due["a"], due["c"]) * 0.01, 1.0)
 
     def restarted(self, epoch: int) -> RecoveredLedger:
-        """Recovered state of a voter after b led epoch 1; `epoch` is the voter's own epoch."""
+        """Recovered state of a voter in this epoch; its log ends with epoch 1, led by b."""
         recovered = fresh_ledger(VOTERS)
         recovered.hard_state = HardState(epoch, None)
         recovered.entries = [Entry(1, 1, StartEpoch("b"))]
@@ -710,7 +711,7 @@
 
 
 class FakeLedger:
-    """A leader's ledger with switchable lease and commits."""
+    """A leader's ledger whose lease and commits can be switched off."""
 
     def __init__(self) -> None:
         self.acts = True
@@ -730,7 +731,7 @@
 
 
 class OwnWindowTest(testtools.TestCase):
-    """Opening and expiry of a leader's own order window."""
+    """Opening and expiry of the leader's order window."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/test_ledger_spec.py
+++ b/tests/test_ledger_spec.py
@@ -12,7 +12,7 @@
 from stileloom.ledger import LedgerReplica, Persist, fresh_ledger
 from stileloom.ledger.commands import RaiseConfigurationFloor, Voter
 from stileloom.ledger.replica import ReplicaRole
-from tests.ledger_spec import NO_NODE, NODES, Bounds, Spec, initial_state, make_ledger_protocol
+from tests.ledger_spec import NO_NODE, NODES, Bounds, State, initial_state, make_ledger_protocol
 
 MAX_STATES = 2_000_000
 TRACE_STEPS = 400
@@ -90,8 +90,8 @@
         log = replica._log
         return tuple(log.entry(i).epoch for i in range(1, log.last_index + 1))
 
-    def abstract(self, max_epoch: int) -> Spec:
-        """The replicas' state as a state of the specification."""
+    def abstract(self, max_epoch: int) -> State:
+        """Maps the replicas' state to a state of the specification."""
         for node, replica in enumerate(self.replicas):
             if replica.role is ReplicaRole.LEADER:
                 recorded = self.leaders.setdefault(replica.epoch, node)
@@ -99,7 +99,7 @@
             if replica.commit_index > len(self.committed):
                 self.committed = self.log_of(replica)[: replica.commit_index]
         index = {voter: i for i, voter in enumerate(self.voters)}
-        return Spec(
+        return State(
             epochs=tuple(replica.epoch for replica in self.replicas),
             votes=tuple(
                 index[r._voted_for] if r._voted_for is not None else NO_NODE for r in self.replicas
@@ -116,7 +116,7 @@
 
 
 class ConformanceTest(testtools.TestCase):
-    """Each state change of the code is a short sequence of actions of the specification."""
+    """Each state change of the replicas is a short sequence of actions of the specification."""
 
     def test_traces_of_the_code_are_traces_of_the_specification(self) -> None:
         bounds = Bounds(max_epoch=30, max_log=60, max_losses=0)
@@ -138,7 +138,7 @@
         self.assertGreater(committed, 20, "the traces committed too few entries")
 
 
-def reachable(protocol: Any, before: Spec, after: Spec) -> bool:
+def reachable(protocol: Any, before: State, after: State) -> bool:
     """Whether at most `PATH_LIMIT` actions lead from one state to the other."""
     frontier = {tuple(before)}
     for _ in range(PATH_LIMIT):
@@ -146,14 +146,14 @@
             state
             for reached in frontier
             for _, state in protocol.transitions(reached)
-            if is_compatible(before, Spec(*state), after)
+            if is_compatible(before, State(*state), after)
         }
         if tuple(after) in frontier:
             return True
     return False
 
 
-def is_compatible(before: Spec, state: Spec, after: Spec) -> bool:
+def is_compatible(before: State, state: State, after: State) -> bool:
     """Prunes the search: nodes that the step did not change must stay unchanged."""
     return all(
         state.epochs[node] == after.epochs[node] and state.logs[node] == after.logs[node]
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -17,7 +17,7 @@
 class PeerAddressesTest(testtools.TestCase):
     """A follower must reach the other followers, not only the leader."""
 
-    def test_a_node_with_an_unknown_address_is_reached_through_unnamed_addresses(self) -> None:
+    def test_a_node_with_an_unknown_address_is_reached_through_unassigned_addresses(self) -> None:
         """Guards against a failed election between followers that have not exchanged frames."""
         addresses = PeerAddresses(ME, [ME, LEADER, OTHER])
         addresses.record_sender("leader", LEADER)
--- a/tests/test_two_voter_spec.py
+++ b/tests/test_two_voter_spec.py
@@ -28,7 +28,7 @@
         self.assertIn("a_leader_can_be_elected", violated(Rules(commit_index_is_durable=False)))
 
     def test_ignoring_the_previous_voter_set_can_leave_no_leader(self) -> None:
-        self.assertIn("a_leader_can_be_elected", violated(Rules(asks_previous_set=False)))
+        self.assertIn("a_leader_can_be_elected", violated(Rules(requires_previous_set=False)))
 
     def test_deciding_alone_under_a_possibly_uncommitted_change_is_unsafe(self) -> None:
         found = violated(Rules(waits_for_commit=False))
--- a/tests/two_voter_spec.py
+++ b/tests/two_voter_spec.py
@@ -1,11 +1,11 @@
 """Specification of the two-voter rule: who may lead once a disk is proved lost.
 
-Nodes 0 and 1 remain when node 2 is removed from the voter set. A log entry is the epoch that
-wrote it and whether it is the change of the voter set. Actions are named after the code:
+Nodes 0 and 1 remain when node 2 is removed from the voter set. A log entry is represented by the
+epoch that wrote it and by whether it is the change of the voter set. Actions:
 
     StartElection, VoteReply, BecomeLeader, Append, AppendRequest, Commit   as in `ledger_spec`
     ChangeVoters     the leader removes node 2 from the voter set
-    LearnCommit      a follower is notified that the change is committed
+    LearnCommit      a follower learns from the leader that the change is committed
     RemovalFinished  node 2 is decommissioned; its machine and disk no longer exist
     Restart          a node loses its memory but not its disk
     LoseDisk         a node restarts with an empty disk and is a different voter
@@ -32,7 +32,7 @@
 Log = tuple[Entry, ...]
 
 
-class Spec(NamedTuple):
+class State(NamedTuple):
     """One state. Tuples are indexed by node."""
 
     epochs: tuple[int, ...]
@@ -49,17 +49,18 @@
     proofs: tuple[tuple[int, ...], ...]
     """By node, the nodes whose disks are proved lost to it."""
     disk_lost: tuple[bool, ...]
-    removed: bool
+    removal_finished: bool
+    """Node 2 is decommissioned."""
     candidates: tuple[bool, ...]
     """Nodes with an election in progress; a restart ends it."""
 
 
 class Rules(NamedTuple):
-    """Parts of the rule; the checker must refute the protocol without any one of them."""
+    """Parts of the two-voter rule; the checker must refute the protocol without any one of them."""
 
     commit_index_is_durable: bool = True
     """The commit index survives a restart."""
-    asks_previous_set: bool = True
+    requires_previous_set: bool = True
     """Until the change is known to be committed, the previous set is required as well."""
     waits_for_commit: bool = True
     """A node decides alone only if it knows that the change is committed."""
@@ -78,9 +79,9 @@
     max_log: int = 2
 
 
-def initial_state(bounds: Bounds) -> Spec:
+def initial_state(bounds: Bounds) -> State:
     """Node 0 leads the first epoch; all logs are empty."""
-    return Spec(
+    return State(
         epochs=(1, 1, 1),
         votes=(0, 0, 0),
         logs=((), (), ()),
@@ -91,7 +92,7 @@
         knows_commit=(False,) * NODES,
         proofs=((),) * NODES,
         disk_lost=(False,) * NODES,
-        removed=False,
+        removal_finished=False,
         candidates=(False,) * NODES,
     )
 
@@ -102,13 +103,13 @@
 
 
 def up_to_date(candidate: Log, voter: Log) -> bool:
-    """Raft, section 5.4.1."""
+    """Whether the candidate's log is at least as up-to-date (Raft, section 5.4.1)."""
     last = lambda log: log[-1][0] if log else 0  # noqa: E731
     return (last(candidate), len(candidate)) >= (last(voter), len(voter))
 
 
 def quorum_sets(rules: Rules, log: Log, knows_commit: bool, proofs: tuple[int, ...]) -> list[tuple]:
-    """The sets of which each needs a majority, from the view of one node."""
+    """The voter sets of which a node with this log needs a majority each."""
     if not has_voter_change(log):
         return [ALL_NODES]
     remaining = tuple(node for node in REMAINING if node not in proofs)
@@ -116,7 +117,7 @@
         return [REMAINING]
     if knows_commit or not rules.waits_for_commit:
         return [remaining]
-    return [remaining, ALL_NODES] if rules.asks_previous_set else [REMAINING]
+    return [remaining, ALL_NODES] if rules.requires_previous_set else [REMAINING]
 
 
 def make_two_voter_protocol(bounds: Bounds, rules: Rules) -> Protocol:
@@ -125,34 +126,34 @@
     def has_quorum(sets: list[tuple], nodes: set[int]) -> bool:
         return all(2 * len(nodes.intersection(members)) > len(members) for members in sets)
 
-    def sets_of(state: Spec, node: int) -> list[tuple]:
+    def sets_of(state: State, node: int) -> list[tuple]:
         return quorum_sets(rules, state.logs[node], state.knows_commit[node], state.proofs[node])
 
-    def is_alive(state: Spec, node: int) -> bool:
-        return not state.disk_lost[node] and not (node == REMOVED_NODE and state.removed)
+    def is_alive(state: State, node: int) -> bool:
+        return not state.disk_lost[node] and not (node == REMOVED_NODE and state.removal_finished)
 
-    def grants_votes(state: Spec, node: int) -> bool:
-        """Whether the node grants votes; a removed node keeps doing so."""
-        removed = (
+    def grants_votes(state: State, node: int) -> bool:
+        """Whether the node grants votes. A removed node does, unless the rule is switched off."""
+        is_barred = (
             node == REMOVED_NODE
             and has_voter_change(state.logs[node])
             and not rules.removed_node_votes
         )
-        return is_alive(state, node) and not removed
+        return is_alive(state, node) and not is_barred
 
-    def may_campaign(state: Spec, node: int, proofs: tuple[int, ...]) -> bool:
+    def may_campaign(state: State, node: int, proofs: tuple[int, ...]) -> bool:
         """Whether the node may start an election.
 
-        A node that knows of its removal campaigns only if a remaining disk is lost: its log may
-        be the longest one left.
+        A node that knows that its removal is committed campaigns only if a remaining disk is lost:
+        the other remaining node, with a shorter log, may need its vote and cannot get it.
         """
-        removed = (
+        knows_removal = (
             node == REMOVED_NODE and has_voter_change(state.logs[node]) and state.knows_commit[node]
         )
-        return grants_votes(state, node) and not (removed and not proofs)
+        return grants_votes(state, node) and not (knows_removal and not proofs)
 
     def transitions(raw: tuple) -> list[tuple[str, tuple]]:
-        state = Spec(*raw)
+        state = State(*raw)
         found: list[tuple[str, tuple]] = []
         for node in range(NODES):
             if is_alive(state, node):
@@ -161,13 +162,13 @@
                 )
                 if not any(state.disk_lost):
                     found.append((f"LoseDisk({node})", tuple(lose_disk(state, node))))
-        known = all(state.knows_commit[node] for node in REMAINING)
-        some = any(state.knows_commit[node] for node in REMAINING)
-        if not state.removed and (known if rules.removal_waits else some):
-            found.append(("RemovalFinished", tuple(state._replace(removed=True))))
+        all_know = all(state.knows_commit[node] for node in REMAINING)
+        any_knows = any(state.knows_commit[node] for node in REMAINING)
+        if not state.removal_finished and (all_know if rules.removal_waits else any_knows):
+            found.append(("RemovalFinished", tuple(state._replace(removal_finished=True))))
         return found
 
-    def elections(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def elections(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch = state.epochs[node]
         if may_campaign(state, node, state.proofs[node]) and epoch < bounds.max_epoch:
@@ -193,14 +194,14 @@
                         candidates=put(state.candidates, voter, False),
                     )
                     found.append((f"VoteReply({voter},{node})", tuple(followed)))
-        granters = {
+        granting_nodes = {
             voter
             for voter in range(NODES)
             if state.epochs[voter] == epoch
             and state.votes[voter] == node
             and is_alive(state, voter)
         }
-        if state.candidates[node] and has_quorum(sets_of(state, node), granters):
+        if state.candidates[node] and has_quorum(sets_of(state, node), granting_nodes):
             has_committed = state.logs[node][: len(state.committed)] == state.committed
             elected = state._replace(
                 leaders=put(state.leaders, epoch, node),
@@ -211,7 +212,7 @@
             found.append((f"BecomeLeader({node})", tuple(elected)))
         return found
 
-    def leader_actions(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def leader_actions(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         epoch, log = state.epochs[node], state.logs[node]
         if state.leaders[epoch] != node:
@@ -219,7 +220,7 @@
         if len(log) < bounds.max_log:
             appended = put(state.logs, node, (*log, (epoch, False)))
             found.append((f"Append({node})", tuple(state._replace(logs=appended))))
-            # Raft: a leader may change the set only once an entry of its epoch is committed.
+            # A leader changes the voter set only once an entry of its epoch is committed.
             settled = bool(log) and state.committed == log and log[-1][0] == epoch
             if settled and not has_voter_change(log) and node != REMOVED_NODE:
                 appended = put(state.logs, node, (*log, (epoch, True)))
@@ -241,7 +242,7 @@
         found += commits(state, node, epoch, log)
         return found
 
-    def commits(state: Spec, node: int, epoch: int, log: Log) -> list[tuple[str, tuple]]:
+    def commits(state: State, node: int, epoch: int, log: Log) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         for length in range(len(state.committed) + 1, len(log) + 1):
             holders = {
@@ -257,7 +258,7 @@
                 found.append((f"Commit({node},{length})", tuple(advanced)))
         return found
 
-    def local_events(state: Spec, node: int) -> list[tuple[str, tuple]]:
+    def local_events(state: State, node: int) -> list[tuple[str, tuple]]:
         found: list[tuple[str, tuple]] = []
         leader = state.leaders[state.epochs[node]]
         has_committed = state.logs[node][: len(state.committed)] == state.committed
@@ -282,48 +283,46 @@
             found.append((f"Restart({node})", tuple(restarted)))
         return found
 
-    def restart(state: Spec, node: int) -> Spec:
+    def restart(state: State, node: int) -> State:
         knows_commit = state.knows_commit[node] and rules.commit_index_is_durable
         leads = state.leaders[state.epochs[node]] == node
         return state._replace(
             knows_commit=put(state.knows_commit, node, knows_commit),
             proofs=put(state.proofs, node, ()),
             candidates=put(state.candidates, node, False),
-            leaders=put(state.leaders, state.epochs[node], FORMER_LEADER)
-            if leads
-            else state.leaders,
+            leaders=put(state.leaders, state.epochs[node], FORMER_NODE) if leads else state.leaders,
         )
 
-    def lose_disk(state: Spec, node: int) -> Spec:
+    def lose_disk(state: State, node: int) -> State:
         restarted = restart(state, node)
         return restarted._replace(
             logs=put(restarted.logs, node, ()),
             knows_commit=put(restarted.knows_commit, node, False),
             disk_lost=put(restarted.disk_lost, node, True),
-            votes=tuple(FORMER_LEADER if vote == node else vote for vote in restarted.votes),
+            votes=tuple(FORMER_NODE if vote == node else vote for vote in restarted.votes),
         )
 
     def a_leader_can_be_elected(raw: dict) -> bool:
-        state = Spec(*(raw[field] for field in Spec._fields))
+        state = State(*(raw[field] for field in State._fields))
         lost_disks = tuple(node for node in REMAINING if state.disk_lost[node])
         for node in range(NODES):
             proofs = tuple(other for other in lost_disks if other != node)
             if not may_campaign(state, node, proofs):
                 continue
             sets = quorum_sets(rules, state.logs[node], state.knows_commit[node], proofs)
-            granters = {
+            granting_nodes = {
                 voter
                 for voter in range(NODES)
                 if grants_votes(state, voter) and up_to_date(state.logs[node], state.logs[voter])
             }
-            if has_quorum(sets, granters):
+            if has_quorum(sets, granting_nodes):
                 return True
         return False
 
     return Protocol(
         name="two_voters",
         candidate=False,
-        fields=Spec._fields,
+        fields=State._fields,
         initial=tuple(initial_state(bounds)),
         transitions=transitions,
         invariants={
@@ -334,5 +333,8 @@
     )
 
 
-FORMER_LEADER = -2
-"""Replaces a node that lost its memory or its disk: the epoch or vote is used up."""
+FORMER_NODE = -2
+"""Stands for a node that led or was voted for before it lost its memory or its disk.
+
+Unlike `NO_NODE` it shows that the epoch has had a leader, or that the vote has been cast.
+"""
