--- a/stileloom/lease/leader.py
+++ b/stileloom/lease/leader.py
@@ -1,10 +1,10 @@
 """The leader's lease, measured from the send time of heartbeats (Gray and Cheriton 1989).
 
 Followers that replied to a heartbeat sent at time t start no election and grant no vote before
-t + ELECTION_TIMEOUT_MIN_S on their own clocks, unless the leader transfers its leadership or is
-the candidate itself. The lease expires earlier, at t + LEADER_LEASE_S; the difference is the
-margin for clock drift. The clock is monotonic and advances while the process is paused, so a
-leader that resumes after its lease expired detects it at the next check.
+t + ELECTION_TIMEOUT_MIN_S on their own clocks, unless the leader transfers its leadership or,
+after a restart, is the candidate itself. The lease expires earlier, at t + LEADER_LEASE_S; the
+difference is the margin for clock drift. The clock is monotonic and advances while the process is
+paused, so a leader that resumes after its lease expired detects it at the next check.
 """
 
 from __future__ import annotations
--- a/stileloom/ledger/bootstrap.py
+++ b/stileloom/ledger/bootstrap.py
@@ -2,8 +2,8 @@
 
 A node with a data folder generates a disk id at its first start and adds itself until the set is
 complete and thereby sealed. A sealed set is never changed here; later changes go through the
-ledger. A node whose disk is not in the sealed set is a learner: it may have voted earlier with a
-disk that it has lost.
+ledger. A node whose disk is not in the sealed set starts as a standby: it may have voted earlier
+with a disk that it has lost.
 """
 
 from __future__ import annotations
--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -85,16 +85,16 @@
         self._progress: dict[Voter, FollowerProgress] = {}
         self._standbys = StandbyPool()
         self._leader_since = now
-        self._tickets: dict[int, object] = {}
+        self._tickets_by_index: dict[int, object] = {}
         self._votes: set[Voter] = set()
         self._in_pre_vote = False
-        self._nonce = 0
-        self._write_id = 0
+        self._last_nonce = 0
+        self._last_write_id = 0
         self._durable_write_id = 0
         self._last_index_by_write: dict[int, int] = {}
         self._deferred_effects: list[tuple[int, Effect]] = []
         self._next_heartbeat_at = now
-        # A voter may have confirmed a lease just before it restarted; it must outlast that lease.
+        # A voter may have confirmed a lease just before it restarted; it lets that lease expire.
         self._last_leader_contact_at = now
         self._previous_leader = (
             last_leader(recovered, self.state) if switches.restart_head_start else ""
@@ -176,7 +176,7 @@
         if self.role is not ReplicaRole.LEADER:
             return [Dropped(ticket)]
         entry = Entry(self._log.last_index + 1, self.epoch, command)
-        self._tickets[entry.index] = ticket
+        self._tickets_by_index[entry.index] = ticket
         effects = self._append([entry])
         return effects + self._replicate(now, heartbeat=False)
 
@@ -236,8 +236,8 @@
     def _election_timeout(self, now: float) -> float:
         """Time until this replica starts an election.
 
-        After a restart of all nodes the previous leader campaigns first: it need not wait with
-        orders to samplers if it opened the last order window (`ledger/order_windows.py`).
+        After a restart of all nodes the previous leader campaigns first: if it opened the last
+        order window, it may send orders without waiting (`ledger/order_windows.py`).
         """
         if self._previous_leader and now < self._restarted_at + constants.RESTART_S:
             if self._previous_leader == self.me.node_id:
@@ -347,8 +347,8 @@
         effects: list[Effect] = []
         if self.role is ReplicaRole.LEADER:
             effects.append(Emit(LogEvent.LEADER_STEPPED_DOWN, {"epoch": self.epoch}))
-            effects += [Dropped(ticket) for ticket in self._tickets.values()]
-            self._tickets.clear()
+            effects += [Dropped(ticket) for ticket in self._tickets_by_index.values()]
+            self._tickets_by_index.clear()
             self._lease.clear()
         self.role = ReplicaRole.FOLLOWER
         self._in_pre_vote = False
@@ -395,20 +395,20 @@
             return self._send_snapshot(now, follower, progress)
         progress.state = FollowerState.PROBE
         effects = self._send_request(now, follower, previous, [])
-        progress.expected_nonce = self._nonce
+        progress.expected_nonce = self._last_nonce
         return effects
 
     def _send_snapshot(
         self, now: float, follower: Voter, progress: FollowerProgress
     ) -> list[Effect]:
-        self._nonce += 1
-        self._lease.record_sent(self._nonce, now)
+        self._last_nonce += 1
+        self._lease.record_sent(self._last_nonce, now)
         snapshot = self._encode_snapshot()
         progress.state = FollowerState.SNAPSHOT
-        progress.expected_nonce = self._nonce
+        progress.expected_nonce = self._last_nonce
         progress.snapshot_sent_at = now
         progress.next_index = snapshot.last_index + 1
-        request = SnapshotRequest(self.epoch, self.me, snapshot, self._nonce)
+        request = SnapshotRequest(self.epoch, self.me, snapshot, self._last_nonce)
         return [Send(follower.node_id, request)]
 
     def _send_entries(
@@ -425,8 +425,8 @@
     def _send_request(
         self, now: float, follower: Voter, previous: int, entries: list[Entry]
     ) -> list[Effect]:
-        self._nonce += 1
-        self._lease.record_sent(self._nonce, now)
+        self._last_nonce += 1
+        self._lease.record_sent(self._last_nonce, now)
         previous_epoch = self._log.epoch_at(previous)
         assert previous_epoch is not None
         request = AppendRequest(
@@ -436,7 +436,7 @@
             previous_epoch,
             entries,
             self._commit_index,
-            self._nonce,
+            self._last_nonce,
         )
         return [Send(follower.node_id, request)]
 
@@ -552,7 +552,7 @@
 
     def _announce_leader(self, standby: Voter) -> Effect:
         """An empty append request at index 0: it names the leader and commits nothing."""
-        request = AppendRequest(self.epoch, self.me, 0, 0, [], 0, self._nonce)
+        request = AppendRequest(self.epoch, self.me, 0, 0, [], 0, self._last_nonce)
         return Send(standby.node_id, request)
 
     def _send_hello(self, now: float) -> list[Effect]:
@@ -722,7 +722,7 @@
             self._applied_index += 1
             entry = self._log.entry(self._applied_index)
             result = self.state.apply(entry.command)
-            ticket = self._tickets.pop(self._applied_index, None)
+            ticket = self._tickets_by_index.pop(self._applied_index, None)
             if ticket is not None:
                 effects.append(Applied(ticket, result))
             if isinstance(entry.command, ChangeVoters):
@@ -779,14 +779,16 @@
 
     def _persist(self, write: Persist) -> list[Effect]:
         """Returns the write with its id and the current commit index filled in."""
-        self._write_id += 1
-        self._last_index_by_write[self._write_id] = self._log.last_index
+        self._last_write_id += 1
+        self._last_index_by_write[self._last_write_id] = self._log.last_index
         commit_index = self._commit_index
-        return [msgspec.structs.replace(write, write_id=self._write_id, commit_index=commit_index)]
+        return [
+            msgspec.structs.replace(write, write_id=self._last_write_id, commit_index=commit_index)
+        ]
 
     def _when_durable(self, effects: list[Effect]) -> list[Effect]:
         """Defers effects until every write issued so far is durable."""
-        if self._durable_write_id >= self._write_id:
+        if self._durable_write_id >= self._last_write_id:
             return effects
-        self._deferred_effects += [(self._write_id, effect) for effect in effects]
+        self._deferred_effects += [(self._last_write_id, effect) for effect in effects]
         return []
--- a/stileloom/ledger/storage.py
+++ b/stileloom/ledger/storage.py
@@ -113,7 +113,7 @@
         self._add_entries(record)
 
     def _add_entries(self, record: AppendRecord) -> None:
-        """Appends the record's entries after removing those at or after their first index."""
+        """Appends the record's entries; first removes those that it truncates or replaces."""
         starts = [record.truncate_from] if record.truncate_from is not None else []
         starts += [entry.index for entry in record.entries[:1]]
         if starts and self._entries and self._entries[-1].index >= min(starts):
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -275,7 +275,7 @@
         "an append is acknowledged before it is durable",
         "exactly once (ledger)",
         "stileloom/ledger/replica.py",
-        "if self._durable_write_id >= self._write_id:",
+        "if self._durable_write_id >= self._last_write_id:",
         "if True:",
         "tests/test_ledger.py",
     ),
