--- a/stileloom/daemon/ledger_driver.py
+++ b/stileloom/daemon/ledger_driver.py
@@ -80,29 +80,31 @@
 
     def hand_over(self) -> None:
         """Transfers leadership to another replica if this one leads."""
-        self._run(self.replica.hand_over(steady_time()))
+        self._run(self.replica.transfer_leadership(steady_time()))
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica leads and holds its lease now."""
-        return not self._stopped and self.replica.may_act(steady_time())
+        return not self._stopped and self.replica.is_active_leader(steady_time())
 
     def leader_address(self) -> tuple[str, int] | None:
         """Returns the address of the last known leader."""
         leader = self.replica.leader
         if leader is None:
             return None
-        if leader == self.replica.me.node_id:
+        if leader == self.replica.local_voter.node_id:
             return (self._local_sender.host, self._local_sender.port)
-        return self._addresses.of(leader)
+        return self._addresses.address_of(leader)
 
     def set_peer_address(self, node_id: str, address: tuple[str, int]) -> None:
         """Records a node address that is registered in the object store."""
-        self._addresses.listed(node_id, address)
+        self._addresses.add_registered(node_id, address)
 
     def needs_peer_lookup(self) -> bool:
         """Whether a voter's address or the leader is unknown."""
-        others = [voter.node_id for voter in self.replica.voters if voter != self.replica.me]
-        unknown = any(self._addresses.of(node_id) is None for node_id in others)
+        others = [
+            voter.node_id for voter in self.replica.voters if voter != self.replica.local_voter
+        ]
+        unknown = any(self._addresses.address_of(node_id) is None for node_id in others)
         return unknown or self.replica.leader is None
 
     async def propose(self, command: Command) -> CommandResult:
@@ -120,15 +122,15 @@
     def _tick(self) -> None:
         now = steady_time()
         self._run(self.replica.tick(now))
-        needs_leader = not self.replica.is_voter and not self.replica.hears_leader(now)
+        needs_leader = not self.replica.is_voter and not self.replica.has_leader_contact(now)
         if needs_leader and now >= self._next_hello_at:
             self._next_hello_at = now + HELLO_INTERVAL_S
             self._send_hello()
 
     def _send_hello(self) -> None:
         """Announces a learner without a known leader to all known addresses."""
-        hello = LearnerHello(self.replica.me)
-        for address in self._addresses.everyone():
+        hello = LearnerHello(self.replica.local_voter)
+        for address in self._addresses.all_addresses():
             self._network.send(address, hello)
 
     def _received(self, sender: str, message: object) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -50,7 +50,7 @@
     def test_an_invalid_entry_does_not_hide_other_samplers(self) -> None:
         directory = self.make_directory()
         directory._samplers_listed([ObjectRecord("a", 1, None), ObjectRecord("b", 1, VALID_SPEC)])
-        self.assertTrue(directory.samplers.listed_once)
+        self.assertTrue(directory.samplers.has_listing)
         self.assertEqual(1, len(directory.samplers.of_service("s")))
 
 
