--- a/stileloom/ledger/replica.py
+++ b/stileloom/ledger/replica.py
@@ -568,12 +568,12 @@
         return [Send(target, hello) for target in sorted(targets - {self.local_voter.node_id})]
 
     def _voter_health(self, now: float) -> VoterHealth:
-        oldest_contact_at = now - constants.VOTER_RESPONSE_TIMEOUT_S
+        contact_cutoff = now - constants.VOTER_RESPONSE_TIMEOUT_S
         unresponsive = {
             voter.node_id
             for voter, progress in self._progress.items()
             if voter in self.voters
-            and max(progress.last_contact_at, self._leader_since) <= oldest_contact_at
+            and max(progress.last_contact_at, self._leader_since) <= contact_cutoff
         }
         retiring = frozenset(self.state.retired_nodes)
         return VoterHealth(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -443,7 +443,7 @@
         "a leader without its lease feeds standbys on the silence of others",
         "voter set",
         "stileloom/ledger/replica.py",
-        "            and max(progress.last_contact_at, self._leader_since) <= oldest_contact_at",
+        "            and max(progress.last_contact_at, self._leader_since) <= contact_cutoff",
         "",
         "tests/test_ledger.py",
     ),
