--- a/stileloom/rollout/scheduler.py
+++ b/stileloom/rollout/scheduler.py
@@ -14,20 +14,20 @@
 from stileloom.rollout.staleness import start_budget
 from stileloom.rollout.work import (
     Assignment,
+    Migration,
     PendingSlot,
     RoundWork,
     SamplerCapacity,
-    Shift,
     Start,
 )
 from stileloom.weights.swap import SwapStyle
 
-SHIFT_MIN_IMBALANCE = 4
+MIGRATION_MIN_IMBALANCE = 4
 """Minimum difference in generations between two samplers before one is moved."""
-SHIFT_MIN_REMAINING_TOKENS = 64
-SHIFTS_PER_PLAN = 2
-PREFER_CURRENT_VERSION_S = 10.0
-"""Time after a new version in which fresh slots start only on samplers that hold it."""
+MIGRATION_MIN_REMAINING_TOKENS = 64
+MIGRATIONS_PER_PLAN = 2
+CURRENT_ONLY_PERIOD_S = 10.0
+"""Time after a new version during which fresh slots start only on samplers that hold it."""
 NO_TOKENS_SORT_KEY = 1 << 60
 """Sorts slots without tokens after those that have some."""
 
@@ -43,13 +43,13 @@
     """Plans one round at a time; does not track running generations."""
 
     swap_style: SwapStyle
-    shifts_roles: bool
+    lends_samplers: bool
 
     @abc.abstractmethod
     def plan_starts(self, work: RoundWork) -> list[Start]:
         """Returns the slots to start now."""
 
-    def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
+    def plan_migrations(self, work: RoundWork, now: float) -> list[Migration]:
         """Returns the generations to stop now, to be resumed on another sampler."""
         return []
 
@@ -57,8 +57,8 @@
         """Records a finished generation; ignored by default."""
         del group, token_count
 
-    def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Returns the places of the current step reserved for running generations.
+    def protected_count(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
+        """Returns how many running generations a hand-over waits for.
 
         `oldest_versions` has the oldest version of each running generation; `oldest_allowed`
         is the oldest version that may be handed over now.
@@ -66,7 +66,7 @@
         return 0
 
     def has_unplaced_slots(self, work: RoundWork) -> bool:
-        """Whether slots wait only for capacity, so that each completion needs a new plan."""
+        """Whether slots wait for capacity, so that freed capacity requires a new plan."""
         return bool(work.pending)
 
 
@@ -74,7 +74,7 @@
     """Assigns slots in order of arrival, round robin over the samplers."""
 
     swap_style = SwapStyle.DRAIN
-    shifts_roles = False
+    lends_samplers = False
 
     def __init__(self) -> None:
         self._next_index = 0
@@ -82,12 +82,12 @@
     def plan_starts(self, work: RoundWork) -> list[Start]:
         """Starts as many slots as the staleness budget allows."""
         in_flight = len(work.assignments)
-        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.requested_until)
         # Samplers with old weights get no new work, so that they drain and swap.
         samplers = [sampler for sampler in work.samplers if sampler.current]
         samplers.sort(key=lambda sampler: sampler.view.sampler_id)
         starts: list[Start] = []
-        ordered = sorted(work.pending, key=lambda slot: slot.slot)
+        ordered = sorted(work.pending, key=lambda slot: slot.number)
         for pending in within_budget(ordered, budget):
             sampler = self._next(samplers)
             if sampler is None:
@@ -111,11 +111,11 @@
     LONGEST_FIRST = "longest_first"
     """Start fresh slots in descending order of expected length."""
     LATE_START = "late_start"
-    """Delay the start of a slot by its expected duration."""
+    """Start a fresh slot no earlier than its expected duration requires."""
     CURRENT_ONLY = "current_only"
-    """Start fresh slots only on samplers that hold the current version."""
+    """Start fresh slots only on samplers that hold the current version, while it is new."""
     PROTECT_EXPIRING = "protect_expiring"
-    """Hold a step for running generations that the next version would make too old."""
+    """Delay a hand-over for running generations that the next version would make too old."""
     SHIFT_TAIL = "shift_tail"
     """Move long generations from loaded samplers to idle ones."""
     IN_FLIGHT_SWAP = "in_flight_swap"
@@ -154,7 +154,7 @@
 
 
 class DefaultScheduler(Scheduler):
-    """Starts blocking and oldest slots first, as late as possible, on the least loaded sampler."""
+    """Starts slots as late as their step allows, on the least utilized sampler."""
 
     def __init__(self, disabled: frozenset[Mechanism] = frozenset()) -> None:
         self._length_estimate = LengthEstimate()
@@ -162,7 +162,7 @@
         self._unplaced_count = 0
         swaps_in_flight = self._enabled(Mechanism.IN_FLIGHT_SWAP)
         self.swap_style = SwapStyle.IN_FLIGHT if swaps_in_flight else SwapStyle.DRAIN
-        self.shifts_roles = self._enabled(Mechanism.LEND_SAMPLERS)
+        self.lends_samplers = self._enabled(Mechanism.LEND_SAMPLERS)
 
     def _enabled(self, mechanism: Mechanism) -> bool:
         return mechanism not in self._disabled
@@ -171,10 +171,10 @@
         self._length_estimate.observe(group, token_count)
 
     def plan_starts(self, work: RoundWork) -> list[Start]:
-        """Resumed slots are already counted as in flight and need no new budget."""
+        """Starts resumed slots, which need no budget, and due fresh slots within the budget."""
         resumed = [slot for slot in work.pending if slot.partial.tokens]
         in_flight = len(work.assignments) + len(resumed)
-        budget = start_budget(work.state, work.staleness_bound, in_flight, work.wanted_until)
+        budget = start_budget(work.state, work.staleness_bound, in_flight, work.requested_until)
         fresh = self._due_slots(work) if budget or work.has_blocking else []
         ordered = sorted(resumed, key=self._start_order)
         ordered += within_budget(sorted(fresh, key=self._start_order), budget)
@@ -185,7 +185,7 @@
         self._unplaced_count = len(ordered)
         queue = _SamplerQueue(work.samplers)
         fresh_queue = queue
-        if self._enabled(Mechanism.CURRENT_ONLY) and work.version_age_s < PREFER_CURRENT_VERSION_S:
+        if self._enabled(Mechanism.CURRENT_ONLY) and work.version_age_s < CURRENT_ONLY_PERIOD_S:
             current = [sampler for sampler in work.samplers if sampler.current]
             fresh_queue = _SamplerQueue(current)
         for pending in ordered:
@@ -203,20 +203,20 @@
         if not self._enabled(Mechanism.LATE_START):
             return fresh
         size = work.state.samples_per_step
-        # Lead is counted from the last step handed over. With a staleness bound of at most 1
-        # and the current version's step still pending, it is counted from that pending step, so
-        # that the next step starts in parallel with it.
-        step = work.state.next_offset // size
+        # The lead is counted from the last step handed over. If the staleness bound is at most 1
+        # and no full step was handed over at the current version, it is counted from the step
+        # that is collected now, so that the next step is generated in parallel.
+        base_step = work.state.next_offset // size
         if work.staleness_bound > 1 or work.state.handed_over_at_version >= size:
-            step -= 1
+            base_step -= 1
         leads: dict[tuple[str, int], int] = {}
         due: list[PendingSlot] = []
         for slot in fresh:
-            group = (slot.prompt.group, slot.prompt.max_tokens)
-            if group not in leads:
-                expected = self._length_estimate.expected(*group, 0)
-                leads[group] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
-            if slot.blocking or slot.slot // size - step <= leads[group]:
+            key = (slot.prompt.group, slot.prompt.max_tokens)
+            if key not in leads:
+                expected = self._length_estimate.expected(*key, 0)
+                leads[key] = work.lead.lead_steps(expected, max(1, work.staleness_bound))
+            if slot.blocking or slot.number // size - base_step <= leads[key]:
                 due.append(slot)
         return due
 
@@ -235,33 +235,33 @@
             -pending.priority,
             oldest if oldest is not None else NO_TOKENS_SORT_KEY,
             -expected if self._enabled(Mechanism.LONGEST_FIRST) else 0.0,
-            pending.slot,
+            pending.number,
         )
 
-    def plan_shifts(self, work: RoundWork, now: float) -> list[Shift]:
+    def plan_migrations(self, work: RoundWork, now: float) -> list[Migration]:
         """Balances load while no slot is due, as engines decode faster with smaller batches."""
         if not self._enabled(Mechanism.SHIFT_TAIL) or len(work.samplers) < 2:
             return []
         if any(slot.partial.tokens for slot in work.pending) or self._due_slots(work):
             return []
-        shifts: list[Shift] = []
+        migrations: list[Migration] = []
         by_load = sorted(work.samplers, key=lambda sampler: sampler.assigned)
-        emptiest, busiest = by_load[0], by_load[-1]
-        while len(shifts) < SHIFTS_PER_PLAN:
-            if busiest.assigned - emptiest.assigned < SHIFT_MIN_IMBALANCE:
+        least_loaded, most_loaded = by_load[0], by_load[-1]
+        while len(migrations) < MIGRATIONS_PER_PLAN:
+            if most_loaded.assigned - least_loaded.assigned < MIGRATION_MIN_IMBALANCE:
                 break
-            assignment = self._longest_on(work, busiest.view.sampler_id, shifts)
+            assignment = self._longest_on(work, most_loaded.view.sampler_id, migrations)
             if assignment is None:
                 break
-            busiest.assigned -= 1
-            emptiest.assigned += 1
-            shifts.append(Shift(assignment.key))
-        return shifts
+            most_loaded.assigned -= 1
+            least_loaded.assigned += 1
+            migrations.append(Migration(assignment.key))
+        return migrations
 
     def _longest_on(
-        self, work: RoundWork, sampler_id: str, planned: list[Shift]
+        self, work: RoundWork, sampler_id: str, planned: list[Migration]
     ) -> Assignment | None:
-        keys = {shift.key for shift in planned}
+        keys = {migration.key for migration in planned}
         candidates = [
             assignment
             for assignment in work.assignments
@@ -281,13 +281,13 @@
             )
             for assignment in candidates
         ]
-        eligible = [row for row in remaining if row[0] >= SHIFT_MIN_REMAINING_TOKENS]
+        eligible = [row for row in remaining if row[0] >= MIGRATION_MIN_REMAINING_TOKENS]
         if not eligible:
             return None
         return max(eligible, key=lambda row: (row[0], -row[1].key.slot))[1]
 
-    def reserved(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
-        """Reserves a place for each generation that the next version would make too old."""
+    def protected_count(self, oldest_allowed: int, oldest_versions: list[int]) -> int:
+        """Returns the number of generations that the next version would make too old."""
         if not self._enabled(Mechanism.PROTECT_EXPIRING):
             return 0
         return sum(1 for version in oldest_versions if version <= oldest_allowed)
