--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -1,4 +1,4 @@
-"""Serves quarantine calls at the ledger's leader, and the leader's own guard."""
+"""Serves quarantine calls of gateways and of the leader's own guard, at the ledger's leader."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
 
 
-class ReplicatedRegistry(Protocol):
-    """The part of the ledger that the quarantine uses."""
+class QuarantineReplica(Protocol):
+    """The local ledger replica as used by the quarantine."""
 
     def may_act(self) -> bool:
-        """Whether this replica is the leader and holds its lease."""
+        """Whether this replica is the leader and holds the leader lease."""
 
     def quarantine(self) -> QuarantineBook:
         """The registry as applied by this replica."""
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        ledger: ReplicatedRegistry,
+        ledger: QuarantineReplica,
         log: EventLog,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
@@ -72,27 +72,27 @@
         return was_suspect
 
     async def start_trial(self, identity: str) -> bool:
-        """Whether a quarantined request may run once more."""
+        """Requests a trial; returns whether the request may run."""
         result = await self._propose(StartTrial(identity, self._wall_clock()))
         return isinstance(result, Done)
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
         """The listing once its revision differs from `known_revision`, or None after `wait_s`."""
-        give_up_at = steady_time() + wait_s
+        timeout_at = steady_time() + wait_s
         while self._leader_registry().revision == known_revision:
-            left_s = give_up_at - steady_time()
-            if left_s <= 0:
+            remaining_s = timeout_at - steady_time()
+            if remaining_s <= 0:
                 return None
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.add(waiter)
-            await asyncio.wait((waiter,), timeout=left_s)
+            await asyncio.wait((waiter,), timeout=remaining_s)
             self._waiters.discard(waiter)
         return self._leader_registry().listing(self._wall_clock())
 
     async def forget_expired(self) -> None:
-        """Removes expired suspects."""
+        """Removes expired suspects from the registry."""
         at_s = self._wall_clock()
-        if self._leader_registry().expired(at_s):
+        if self._leader_registry().expired_identities(at_s):
             await self._propose(ForgetSuspects(at_s))
 
     def step(self) -> None:
--- a/stileloom/quarantine/book.py
+++ b/stileloom/quarantine/book.py
@@ -1,4 +1,4 @@
-"""Replicated registry of requests under which samplers crashed, and of which are quarantined.
+"""Replicated registry of requests under which samplers crashed; decides which are quarantined.
 
 Deterministic: it reads no clock. Times are the leader's wall-clock time, carried by the commands.
 """
@@ -11,29 +11,30 @@
 
 ENDS_ALONE = 3
 """Crashes after which a request is quarantined if no other request was running during all of them.
-Two crashes may be a coincidence: a request whose sampler crashed is retried on another one at once.
+Two may be a coincidence, since a request whose sampler crashed is retried on another one at once.
 """
 ENDS_SHARED = 4
-"""Crashes after which requests with identical crash sets are quarantined together. At most one of
-them is the cause; below this threshold none is refused, because the next crash tells them apart."""
+"""Crashes after which requests that share all of their crashes are quarantined together. At most
+one of them is the cause; below this threshold none is refused, since the next crash is likely to
+tell them apart."""
 LISTED_FROM = 2
-"""Crashes after which a suspect is published to other nodes. A single crash under hundreds of
-concurrent requests must not publish hundreds of suspects."""
+"""Crashes after which a suspect is published to other nodes. Publishing after a single crash would
+list every request that was running on the sampler, possibly hundreds."""
 CRASH_RETENTION_S = 600.0
-"""How long a crash counts against a request."""
+"""How long a crash counts against a request that is not quarantined."""
 INITIAL_QUARANTINE_S = 120.0
-"""Delay until a quarantined request may run once more in the whole fleet, in case the cause has
-been fixed. Doubles with each trial."""
+"""Delay until a quarantined request is granted a trial, one run in the whole fleet, in case the
+cause has been fixed. Doubles with each trial."""
 MAX_QUARANTINE_S = 3600.0
 MAX_SUSPECTS = 10_000
-"""Bounds memory to about 2 MB. Quarantined requests are never evicted to make room."""
+"""Bounds memory to about 2 MB. Only requests below the quarantine threshold are evicted."""
 
 
 class Suspect(msgspec.Struct):
     """A request under which samplers crashed, without a successful response since."""
 
     ends: dict[str, float] = msgspec.field(default_factory=dict)
-    """Crash time by sampler incarnation."""
+    """Times of the crashes by sampler incarnation."""
     trials: int = 0
     tried_at_s: float = 0.0
 
@@ -44,18 +45,18 @@
         return min(MAX_QUARANTINE_S, INITIAL_QUARANTINE_S * 2**doublings)
 
     @property
-    def last_event_s(self) -> float:
+    def last_event_at_s(self) -> float:
         """Time of the latest crash or trial."""
         return max([self.tried_at_s, *self.ends.values()])
 
     @property
     def next_trial_at_s(self) -> float:
         """Earliest time of the next trial of a quarantined request."""
-        return self.last_event_s + self.quarantine_s
+        return self.last_event_at_s + self.quarantine_s
 
     def is_expired(self, at_s: float) -> bool:
-        """Whether the suspect can be removed."""
-        return at_s > self.last_event_s + max(CRASH_RETENTION_S, 2 * self.quarantine_s)
+        """Whether the latest crash or trial is old enough to remove the suspect."""
+        return at_s > self.last_event_at_s + max(CRASH_RETENTION_S, 2 * self.quarantine_s)
 
 
 class QuarantineBook(msgspec.Struct):
@@ -93,7 +94,7 @@
         return cleared
 
     def start_trial(self, identity: str, at_s: float) -> bool:
-        """Whether a quarantined request may run once more now; if so, postpones the next trial."""
+        """Whether the request may run. A trial of a quarantined request postpones the next one."""
         suspect = self.suspects.get(identity)
         if suspect is None or not self.is_held(identity):
             return True
@@ -106,30 +107,31 @@
 
     def forget_expired(self, at_s: float) -> None:
         """Removes expired suspects."""
-        for identity in self.expired(at_s):
+        for identity in self.expired_identities(at_s):
             if len(self.suspects.pop(identity).ends) >= LISTED_FROM:
                 self.revision += 1
 
-    def expired(self, at_s: float) -> list[str]:
-        """Identities of expired suspects."""
+    def expired_identities(self, at_s: float) -> list[str]:
+        """Identities of the expired suspects."""
         return [identity for identity, suspect in self.suspects.items() if suspect.is_expired(at_s)]
 
     def is_held(self, identity: str) -> bool:
-        """Whether the request is refused by all nodes.
+        """Whether all nodes refuse the request.
 
-        A request is not quarantined while another request was running during all of the same
-        crashes and more, since that request explains them.
+        Another request that was running during all of the same crashes may be their cause, so it
+        prevents the quarantine. From `ENDS_SHARED` crashes on, it does so only if it was also
+        running during a further crash.
         """
         suspect = self.suspects.get(identity)
         if suspect is None or len(suspect.ends) < ENDS_ALONE:
             return False
         own_crashes = suspect.ends.keys()
-        may_share_crashes = len(own_crashes) >= ENDS_SHARED
+        quarantine_shared = len(own_crashes) >= ENDS_SHARED
         for other_identity, other in self.suspects.items():
             if other_identity == identity or len(other.ends) < len(own_crashes):
                 continue
             if own_crashes <= other.ends.keys() and not (
-                may_share_crashes and own_crashes == other.ends.keys()
+                quarantine_shared and own_crashes == other.ends.keys()
             ):
                 return False
         return True
--- a/stileloom/quarantine/end_probe.py
+++ b/stileloom/quarantine/end_probe.py
@@ -1,4 +1,4 @@
-"""Checks whether a sampler's process still exists after a connection to it broke.
+"""Checks whether a sampler's process crashed after a connection to it broke.
 
 A broken connection does not prove a crash: links are reset, idle connections are reused after the
 peer closed them, and responses are lost. Only a refused connection, meaning that no process listens
@@ -12,14 +12,14 @@
 from collections.abc import Callable
 
 CONNECT_TIMEOUT_S = 0.3
-"""A crashed process is detected by a TCP reset within one round trip; a timeout proves nothing."""
+"""If the process crashed, its machine refuses the connection within one round trip."""
 
 
 class ProbeResult(enum.Enum):
     """Result of one connection attempt to a sampler's address."""
 
     LISTENING = "listens"
-    """A process accepts connections: the same one or its successor."""
+    """A process accepts connections: the same one, or one started since."""
     REFUSED = "refused"
     """No process listens on the port: the sampler crashed."""
     UNRESPONSIVE = "silent"
@@ -29,7 +29,7 @@
 async def probe_listener(
     address: tuple[str, int], on_open: Callable[[], None] = lambda: None
 ) -> ProbeResult:
-    """Opens a connection and closes it at once; calls `on_open` to count it."""
+    """Opens a connection and closes it at once; first calls `on_open`, which counts connections."""
     on_open()
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/stileloom/quarantine/guard.py
+++ b/stileloom/quarantine/guard.py
@@ -1,8 +1,8 @@
 """Admits requests, attributes sampler crashes to them, and reports the crashes to the ledger.
 
-Each process that sends requests to samplers has one guard. It follows the quarantine listing of the
-ledger, so the bound on crashes holds for the whole fleet; crashes seen locally count while the
-ledger is unreachable. Requests without crashes cause no messages.
+Each process that sends requests to samplers has one guard. It follows the ledger's quarantine
+listing, which counts the crashes of the whole fleet; local crashes count at once, also while the
+ledger is unreachable. Requests under which no sampler crashed cause no messages to the ledger.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 BEGAN_LATELY_S = 1.5
 """A crash is attributed only to requests that started within this time before it. Poison requests
-crash a sampler within about 0.1 s, plus time spent in its queue."""
+crash a sampler within about 0.1 s of leaving its queue."""
 PROBE_WAIT_S = 0.03
-"""How long a retry waits for the probe result."""
+"""How long a retry waits for the probe of the sampler that failed."""
 WATCH_WAIT_S = 2.0
 """Long-poll duration. Changes are delivered at once; an unresponsive connection is detected after
 this plus the call timeout."""
 RETRY_DELAY_S = 0.3
 """Delay between retries while the ledger is unavailable."""
 REPORT_BATCH_DELAY_S = 0.02
-"""Batching delay, so that all suspects of one crash are reported together."""
+"""Batching delay: one report includes all requests that were running on a crashed sampler."""
 MAX_REPORT_ITEMS = 500
 
 
@@ -49,18 +49,22 @@
         """The listing once its revision differs from `known_revision`, or None after `wait_s`."""
 
     async def start_trial(self, identity: str) -> bool:
-        """Whether a quarantined request may run once more."""
+        """Requests a trial; returns whether the request may run."""
 
 
 class Permit:
     """Admission of one arrival of a request; tracks how many attempts it has left."""
 
     def __init__(
-        self, guard: QuarantineGuard, request_id: str, identity_of: Callable[[], str], trial: bool
+        self,
+        guard: QuarantineGuard,
+        request_id: str,
+        compute_identity: Callable[[], str],
+        trial: bool,
     ) -> None:
         self._guard = guard
         self._request_id = request_id
-        self._compute_identity = identity_of
+        self._compute_identity = compute_identity
         self._identity = ""
         self._trial = trial
         self._local_crashes: set[str] = set()
@@ -79,12 +83,13 @@
 
     @property
     def attempts_left(self) -> int:
-        """How many more samplers the request may be sent to before it is quarantined.
+        """How many more attempts the request has before it is quarantined.
 
-        An admitted request has at least one attempt, also if others share all of its crashes.
+        An admitted request has at least one, even if its crashes reach the threshold: it is not
+        quarantined while other requests share all of them.
         """
-        at_least = 0 if self._local_crashes else 1
-        return at_least if self._trial else max(at_least, ENDS_ALONE - self._crash_count())
+        minimum = 0 if self._local_crashes else 1
+        return minimum if self._trial else max(minimum, ENDS_ALONE - self._crash_count())
 
     def _crash_count(self) -> int:
         if self._guard.view.empty and not self._local_crashes:
@@ -97,24 +102,24 @@
     def leaves_healthy_sampler(self, samplers: SamplerTable, service: str) -> bool:
         """Whether a healthy sampler of the service remains if the request crashes the next one.
 
-        Suspects run only in this case, so that the retries of one request can't crash every sampler
-        of a service. Services with a single listed sampler are exempt.
+        A suspect is sent only if this holds, so that its retries can't crash every sampler of the
+        service. Services with a single listed sampler are exempt.
         """
         if not self.suspected or len(samplers.of_service(service)) == 1:
             return True
         return len(samplers.responsive_incarnations(service) - self._crashed_samplers()) > 1
 
     async def attempt_failed(self, entry: SamplerEntry, began_at: float) -> None:
-        """Handles a failed attempt: probes the sampler and records a crash."""
+        """Handles a failed attempt: probes the sampler, and records a crash if it has crashed."""
         ran_s = steady_time() - began_at
         if ran_s > BEGAN_LATELY_S:
             return
         probing = self._guard.judge(self._request_id, self.identity, entry, ran_s)
         task = asyncio.get_running_loop().create_task(probing)
-        task.add_done_callback(lambda done: self._record_probe(done, entry))
+        task.add_done_callback(lambda done: self._on_probe_done(done, entry))
         await asyncio.wait((task,), timeout=PROBE_WAIT_S)
 
-    def _record_probe(self, done: asyncio.Task[bool], entry: SamplerEntry) -> None:
+    def _on_probe_done(self, done: asyncio.Task[bool], entry: SamplerEntry) -> None:
         if done.cancelled():
             return
         error = done.exception()
@@ -124,12 +129,12 @@
             self._local_crashes.add(entry.incarnation)
 
     def succeeded(self) -> None:
-        """Clears the request after a successful response."""
+        """Records a successful response, which clears the request if it was a suspect."""
         self._guard.answered(self.identity, suspected=self.suspected)
 
 
 class QuarantineGuard:
-    """Quarantine state of one process."""
+    """Admits the requests of one process and reports their crashes and successes."""
 
     def __init__(
         self,
@@ -159,9 +164,12 @@
         self._stopped = True
         self._tasks.cancel()
 
-    async def admit(self, request_id: str, identity_of: Callable[[], str]) -> Permit:
-        """Admits a request. Raises `StileloomError` (QUARANTINED) at once if it is quarantined."""
-        permit = Permit(self, request_id, identity_of, trial=False)
+    async def admit(self, request_id: str, compute_identity: Callable[[], str]) -> Permit:
+        """Admits a request, or raises `StileloomError` (QUARANTINED).
+
+        A quarantined request is admitted for one run if the ledger grants a trial.
+        """
+        permit = Permit(self, request_id, compute_identity, trial=False)
         if self.view.empty or not self.view.is_held(permit.identity):
             return permit
         identity = permit.identity
@@ -171,7 +179,7 @@
         raise self.refusal(identity)
 
     def refusal(self, identity: str) -> StileloomError:
-        """The error for a quarantined request, with the time of the next trial as Retry-After."""
+        """The error for a quarantined request; its Retry-After is the time until the next trial."""
         self._metrics.refused.inc()
         crashed = sorted(self.view.ends_under(identity))
         trial_in_s = self.view.trial_in_s(identity, steady_time())
@@ -183,7 +191,7 @@
         try:
             granted = await self._ledger.start_trial(identity)
         except StileloomError as error:
-            self._log_unreachable("trial", error)
+            self._log_ledger_failure("trial", error)
             return False
         self._metrics.trials.labels("granted" if granted else "refused").inc()
         self._log.emit(
@@ -246,7 +254,7 @@
                 try:
                     revision = await self._ledger.report(crashes, succeeded)
                 except StileloomError as error:
-                    self._log_unreachable("report", error)
+                    self._log_ledger_failure("report", error)
                     await asyncio.sleep(RETRY_DELAY_S)
                     continue
                 del self._unreported_crashes[: len(crashes)]
@@ -262,14 +270,14 @@
             try:
                 listing = await self._ledger.watch(self.view.revision, WATCH_WAIT_S)
             except StileloomError:
-                # The ledger client has logged the failure; the current listing stays in effect.
+                # Logged by the ledger client. The current listing stays in effect.
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if listing is not None:
                 self.learn(listing)
 
     def learn(self, listing: QuarantineListing) -> None:
-        """Applies a listing; clears quarantined requests that recently succeeded at this node."""
+        """Applies a listing; reports quarantined requests that recently succeeded at this node."""
         for identity in self.view.apply_listing(listing, steady_time()):
             self._report_success(identity)
         self._log.emit(
@@ -281,7 +289,7 @@
             },
         )
 
-    def _log_unreachable(self, what: str, error: StileloomError) -> None:
+    def _log_ledger_failure(self, what: str, error: StileloomError) -> None:
         self._log.emit(
             LogEvent.QUARANTINE_UNREACHABLE,
             {"what": what, "detail": error.detail, "ends": len(self._unreported_crashes)},
--- a/stileloom/quarantine/identity.py
+++ b/stileloom/quarantine/identity.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 DIGEST_BYTES = 16
-"""Large enough to resist chosen-input collisions, which would quarantine an unrelated request."""
+"""Large enough to resist deliberate collisions, which could quarantine another caller's request."""
 CREDENTIAL_HEADERS = frozenset({"authorization", "cookie", "x-api-key"})
 """Headers that identify the caller: the same request from two callers has two identities."""
 
--- a/stileloom/quarantine/remote_ledger.py
+++ b/stileloom/quarantine/remote_ledger.py
@@ -16,11 +16,11 @@
 )
 
 CALL_TIMEOUT_S = 2.0
-"""Bounds one round of leader discovery; reports and watches are retried."""
+"""Short, since reports and watches are retried; includes the search for the leader."""
 TRIAL_TIMEOUT_S = 0.5
-"""Short, since a caller is waiting: without a reply the request is refused."""
+"""Short, since a caller is waiting; after a timeout its request is refused."""
 NO_REQUEST_ID = ""
-"""Request id of calls that no caller's request caused."""
+"""Quarantine calls carry no request id."""
 
 
 class RemoteQuarantineLedger:
@@ -34,7 +34,7 @@
         call = ReportSuspectsCall(crashes, succeeded)
         reply = await self._client.call(call, NO_REQUEST_ID, CALL_TIMEOUT_S)
         if not isinstance(reply, SuspectsReported):
-            raise _unexpected(reply)
+            raise _unexpected_reply(reply)
         return reply.revision
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
@@ -42,17 +42,17 @@
         call = WatchQuarantineCall(known_revision, wait_s)
         reply = await self._client.call(call, NO_REQUEST_ID, wait_s + CALL_TIMEOUT_S)
         if not isinstance(reply, QuarantineListed):
-            raise _unexpected(reply)
+            raise _unexpected_reply(reply)
         return reply.listing
 
     async def start_trial(self, identity: str) -> bool:
-        """Whether a quarantined request may run once more."""
+        """Requests a trial; returns whether the request may run."""
         reply = await self._client.call(StartTrialCall(identity), NO_REQUEST_ID, TRIAL_TIMEOUT_S)
         if not isinstance(reply, TrialAnswered):
-            raise _unexpected(reply)
+            raise _unexpected_reply(reply)
         return reply.granted
 
 
-def _unexpected(reply: object) -> StileloomError:
+def _unexpected_reply(reply: object) -> StileloomError:
     detail = f"unexpected reply of the ledger to a quarantine call: {type(reply).__name__}"
     return StileloomError(ErrorKind.INTERNAL, detail)
--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -1,4 +1,4 @@
-"""One node's view of suspects: the fleet's listing, and its own crashes that are not yet in it."""
+"""One node's view of suspects: the fleet's listing, and local crashes that are not yet in it."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from stileloom.quarantine.book import ENDS_ALONE
 from stileloom.quarantine.messages import QuarantineListing, SamplerEnd, SuspectSummary
 
-MAX_PENDING = 4096
-"""Bounds memory to about 400 KB; more than the requests in flight at one gateway."""
+MAX_PENDING_IDENTITIES = 4096
+"""Bounds memory to about 400 KB; exceeds the number of requests in flight at one gateway."""
 MAX_REMEMBERED_SUCCESSES = 4096
 """Bounds memory to about 400 KB."""
 SUCCESS_RETENTION_S = 60.0
-"""How long a successful response clears a request: a poison request never succeeds."""
+"""How long a successful response counts as evidence that a request is not poison."""
 
 
 class QuarantineView:
-    """Performs no I/O; times are monotonic seconds."""
+    """Suspects as known to one node. Performs no I/O; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._revision = -1
         self._listed: dict[str, SuspectSummary] = {}
         self._received_at = 0.0
         self._pending: dict[str, dict[str, int | None]] = {}
-        """Local crashes by identity and sampler, each with the listing revision that covers it, or
-        None until the ledger has accepted it."""
+        """Local crashes by identity and sampler incarnation. The value is the revision of the first
+        listing that includes the crash, or None until the ledger has accepted it."""
         self._successes: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
@@ -45,28 +45,28 @@
     def apply_listing(self, listing: QuarantineListing, now: float) -> list[str]:
         """Applies a listing; returns quarantined requests that recently succeeded at this node.
 
-        A poison request never succeeds, so these are false positives. Each remembered response is
-        used only once, in case the request has become poisonous since.
+        A poison request never succeeds, so these are false positives. Each successful response is
+        used only once: the request may have started to crash samplers after it.
         """
         self._revision = listing.revision
         self._received_at = now
         self._listed = {summary.identity: summary for summary in listing.suspects}
         for identity in list(self._pending):
-            self._drop_covered(identity)
+            self._drop_listed(identity)
         return [
             identity
             for identity, summary in self._listed.items()
             if summary.held and self._succeeded_recently(identity, now)
         ]
 
-    def _drop_covered(self, identity: str) -> None:
-        uncovered = {
-            sampler: covered_from
-            for sampler, covered_from in self._pending.pop(identity).items()
-            if covered_from is None or covered_from > self._revision
+    def _drop_listed(self, identity: str) -> None:
+        unlisted = {
+            sampler: listed_from
+            for sampler, listed_from in self._pending.pop(identity).items()
+            if listed_from is None or listed_from > self._revision
         }
-        if uncovered:
-            self._pending[identity] = uncovered
+        if unlisted:
+            self._pending[identity] = unlisted
 
     def _succeeded_recently(self, identity: str, now: float) -> bool:
         succeeded_at = self._successes.pop(identity, None)
@@ -74,7 +74,7 @@
 
     def record_crash(self, crash: SamplerEnd) -> None:
         """Records a crash seen by this node."""
-        if len(self._pending) >= MAX_PENDING and crash.identity not in self._pending:
+        if len(self._pending) >= MAX_PENDING_IDENTITIES and crash.identity not in self._pending:
             self._pending.pop(next(iter(self._pending)))
         self._pending.setdefault(crash.identity, {}).setdefault(crash.sampler, None)
         self._successes.pop(crash.identity, None)
@@ -85,7 +85,7 @@
             samplers = self._pending.get(crash.identity)
             if samplers is not None and crash.sampler in samplers:
                 samplers[crash.sampler] = revision
-                self._drop_covered(crash.identity)
+                self._drop_listed(crash.identity)
 
     def record_success(self, identity: str, now: float) -> bool:
         """Records a successful response; returns whether the request was a suspect."""
@@ -105,8 +105,7 @@
     def is_held(self, identity: str) -> bool:
         """Whether the request is quarantined.
 
-        Local crashes that the listing does not cover count as well, since the ledger may be
-        unreachable.
+        Local crashes that are not yet listed count as well, since the ledger may be unreachable.
         """
         listed = self._listed.get(identity)
         if listed is not None and listed.held:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -103,8 +103,8 @@
         "requests under the same ends are all held at the third",
         "innocent requests",
         "stileloom/quarantine/book.py",
-        "may_share_crashes = len(own_crashes) >= ENDS_SHARED",
-        "may_share_crashes = True",
+        "quarantine_shared = len(own_crashes) >= ENDS_SHARED",
+        "quarantine_shared = True",
         f"{BOOK}::QuarantineBookTest"
         "::test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs",
     ),
--- a/tests/test_end_probe.py
+++ b/tests/test_end_probe.py
@@ -13,9 +13,9 @@
 
 
 class ProbeListenerTest(testtools.TestCase):
-    """Only a refused connection proves that a process ended."""
+    """Only a refused connection proves that a process has ended."""
 
-    def test_distinguishes_listening_and_ended_processes(self) -> None:
+    def test_a_listening_process_is_distinguished_from_a_crashed_one(self) -> None:
         async def scenario() -> None:
             server = await asyncio.start_server(lambda reader, writer: writer.close(), HOST, 0)
             address = server.sockets[0].getsockname()[:2]
