--- a/stileloom/proxy/admission.py
+++ b/stileloom/proxy/admission.py
@@ -10,13 +10,13 @@
 from stileloom.proxy.attempt_plan import AttemptPlan
 
 MAX_WAIT_FRACTION = 0.125
-"""Share of the target latency for which a lookup waits for a free slot. Longer waits give slots to
-lookups that then miss their target."""
+"""Share of the target latency for which a lookup waits for a free slot. A lookup that starts later
+would miss its target."""
 RETRY_INTERVAL_S = 0.005
-"""Delay between two rounds over full samplers."""
+"""Delay before samplers that were full are tried again."""
 RETRY_AFTER_FRACTION = 0.5
-"""Retry-After of an overloaded service as a share of the target latency, so that a retry can still
-meet the target."""
+"""Retry-After as a share of the target latency if samplers are full, so that the caller's retry can
+still meet the target."""
 UNAVAILABLE_RETRY_AFTER_S = 0.5
 """Retry-After if no sampler is reachable."""
 
@@ -43,7 +43,7 @@
 
 
 def suspect_refusal(plan: AttemptPlan) -> StileloomError:
-    """The error for a suspected request that can't run without risking the last healthy sampler."""
+    """The error for a suspect that could crash the last healthy sampler of its service."""
     detail = "samplers crashed under this request; retrying could crash the last healthy one"
     return _refusal(plan, ErrorKind.NO_SAMPLER, detail, UNAVAILABLE_RETRY_AFTER_S)
 
@@ -51,8 +51,8 @@
 def _refusal(
     plan: AttemptPlan, kind: ErrorKind, detail: str, retry_after_s: float
 ) -> StileloomError:
-    """The error for a lookup; its outcome is unknown once an attempt may have run."""
-    if plan.may_have_run:
-        detail = f"{plan.may_have_run} attempts failed; {detail}"
+    """The error to refuse with; `kind` applies only if no attempt may have run."""
+    if plan.possible_runs:
+        detail = f"{plan.possible_runs} attempts failed; {detail}"
         return StileloomError(ErrorKind.SAMPLER_FAILED, detail)
     return StileloomError(kind, detail, retry_after_s=retry_after_s)
--- a/stileloom/proxy/attempt_plan.py
+++ b/stileloom/proxy/attempt_plan.py
@@ -26,24 +26,25 @@
     target_latency_s: float
     started_at: float
     hedges: bool = True
-    may_have_run: int = 0
+    possible_runs: int = 0
+    """Number of ended attempts that ran, or may have run, at a sampler."""
     running: int = 0
     last_started_at: float = 0.0
     refused_by: set[str] = msgspec.field(default_factory=set)
     tried: set[str] = msgspec.field(default_factory=set)
     unreachable: set[str] = msgspec.field(default_factory=set)
-    """Samplers to which no connection could be opened; not tried again for this lookup."""
+    """Samplers to which no connection could be opened; they are not candidates."""
     full: bool = False
-    """Whether a sampler reported that it is full."""
+    """Whether a sampler refused the lookup because it is full."""
 
     def may_start(self) -> bool:
         """Whether another attempt is allowed."""
         if not self.repeatable:
-            return self.running == 0 and self.may_have_run == 0
-        return self.may_have_run + self.running < self.max_attempts
+            return self.running == 0 and self.possible_runs == 0
+        return self.possible_runs + self.running < self.max_attempts
 
     def hedge_at(self) -> float:
-        """When a hedged attempt may start."""
+        """Earliest time of a hedged attempt, in monotonic seconds."""
         if not self.hedges:
             return float("inf")
         return self.last_started_at + self.target_latency_s * HEDGE_DELAY_FRACTION
@@ -51,7 +52,11 @@
     def select_sampler(
         self, samplers: SamplerTable, now: float, rng: random.Random
     ) -> SamplerBelief | None:
-        """Selects the sampler for the next attempt, or None if there is no candidate."""
+        """Selects the sampler for the next attempt, or None if there is no candidate.
+
+        Samplers that were already tried are candidates only if there are no others and no attempt
+        is running.
+        """
         candidates = [
             tracked
             for tracked in samplers.of_service(self.service)
@@ -86,13 +91,13 @@
         self.tried.add(sampler_id)
 
     def refused(self, sampler_id: str, full: bool = True) -> None:
-        """Records a refusal without a run; `full` if the sampler may have a free slot soon."""
+        """Records a refusal without a run; `full` tells whether the sampler had no free slot."""
         self.running -= 1
         self.refused_by.add(sampler_id)
         self.full |= full
 
     def connect_failed(self, sampler_id: str) -> None:
-        """Records a failed connection; the request was not sent."""
+        """Records that no connection could be opened; the request was not sent."""
         self.running -= 1
         self.unreachable.add(sampler_id)
 
@@ -102,6 +107,6 @@
         self.full = False
 
     def ran(self) -> None:
-        """Records the end of an attempt that may have run."""
+        """Records the end of an attempt that ran or may have run."""
         self.running -= 1
-        self.may_have_run += 1
+        self.possible_runs += 1
--- a/stileloom/proxy/exchange.py
+++ b/stileloom/proxy/exchange.py
@@ -21,9 +21,9 @@
     REFUSED = "refused"
     """The sampler confirmed that the request did not run."""
     MISDIRECTED = "misdirected"
-    """Another sampler has the address (status 421); the request did not run."""
+    """A sampler with another id has the address (status 421); the request did not run."""
     NOT_CONNECTED = "not_connected"
-    """No connection; nothing was sent."""
+    """No connection could be opened; nothing was sent."""
     BROKEN = "broken"
     """The connection broke; the request may have run."""
 
@@ -50,7 +50,7 @@
     names: HeaderNames,
     method: str = "GET",
 ) -> Attempt:
-    """Sends a request on a connection and classifies the response."""
+    """Sends a request on a connection and classifies the outcome."""
     response = WholeAnswer()
     connection.exchange(request, response, method)
     try:
@@ -62,7 +62,7 @@
     if end is not ExchangeEnd.COMPLETE or head is None:
         return Attempt(sampler_id, AttemptOutcome.BROKEN, detail=end.value)
     if head.headers.get(names.request_id, request_id) != request_id:
-        # A late response to an earlier request: the outcome of this one is unknown.
+        # A late response to an earlier request. The outcome of this one is unknown.
         connection.close()
         return Attempt(sampler_id, AttemptOutcome.BROKEN, detail="response to another request")
     if head.status == 421:
--- a/stileloom/proxy/forwarder.py
+++ b/stileloom/proxy/forwarder.py
@@ -22,7 +22,7 @@
 
 
 class Forwarder:
-    """Owns the connections for lookups."""
+    """Forwards lookups on its own connections to samplers."""
 
     def __init__(self, access: SamplerAccess, hedges: bool = True) -> None:
         self._zone = access.zone
@@ -43,8 +43,8 @@
         """Returns a sampler's response.
 
         Raises `StileloomError`: QUARANTINED, OVERLOADED or NO_SAMPLER if the lookup did not run,
-        SAMPLER_FAILED or DEADLINE_PASSED if it may have. Cancelling it cancels all running
-        attempts.
+        SAMPLER_FAILED or DEADLINE_PASSED if it may have run. Cancelling the call cancels all
+        running attempts.
         """
         permit = await self._guard.admit(lookup.request_id, lookup.identity)
         plan = AttemptPlan(
@@ -58,12 +58,12 @@
         )
         attempts: set[asyncio.Task[Attempt]] = set()
         try:
-            return await self._run(lookup, plan, permit, attempts)
+            return await self._run_attempts(lookup, plan, permit, attempts)
         finally:
             for task in attempts:
                 task.cancel()
 
-    async def _run(
+    async def _run_attempts(
         self,
         lookup: Lookup,
         plan: AttemptPlan,
@@ -83,17 +83,17 @@
                 elif not permit.leaves_healthy_sampler(self._samplers, plan.service):
                     if not attempts:
                         raise suspect_refusal(plan)
-                elif self._start(lookup, plan, attempts, now):
+                elif self._start_attempt(lookup, plan, attempts, now):
                     continue
                 elif not attempts:
                     refusal = await self._wait_for_sampler(lookup, plan)
                     if refusal is None:
                         continue
                     if last_failure is not None:
-                        return self._final_failure(plan, last_failure, failed_attempts)
+                        return self._final_response(plan, last_failure, failed_attempts)
                     raise refusal
             elif not attempts:
-                return self._final_failure(plan, last_failure, failed_attempts)
+                return self._final_response(plan, last_failure, failed_attempts)
             done, _ = await asyncio.wait(
                 attempts, timeout=wake_at - now, return_when=asyncio.FIRST_COMPLETED
             )
@@ -121,7 +121,7 @@
         }
         self._log.emit(LogEvent.REQUEST_ANSWERED, fields)
 
-    def _start(
+    def _start_attempt(
         self,
         lookup: Lookup,
         plan: AttemptPlan,
@@ -132,11 +132,11 @@
         if tracked is None:
             return False
         plan.started(tracked.entry.sampler_id, now)
-        attempts.add(asyncio.get_running_loop().create_task(self._attempt(lookup, tracked)))
+        attempts.add(asyncio.get_running_loop().create_task(self._run_attempt(lookup, tracked)))
         return True
 
     async def _wait_for_sampler(self, lookup: Lookup, plan: AttemptPlan) -> StileloomError | None:
-        """Waits before samplers are tried again; returns an error if the lookup is refused."""
+        """Waits until samplers may be tried again, or returns the error to refuse with."""
         listed = len(self._samplers.of_service(plan.service))
         decision = wait_or_refuse(plan, listed, lookup.deadline_at, steady_time())
         if isinstance(decision, StileloomError):
@@ -145,24 +145,24 @@
         plan.reset_refusals()
         return None
 
-    def _final_failure(
+    def _final_response(
         self, plan: AttemptPlan, last_failure: Attempt | None, failed_attempts: int
     ) -> LookupAnswer:
-        """Returns the last error response of a sampler, or raises SAMPLER_FAILED."""
+        """Returns the last error response of a sampler; raises SAMPLER_FAILED if there is none."""
         if last_failure is not None and last_failure.head is not None:
             return LookupAnswer(last_failure.head, last_failure.body, failed_attempts)
         raise StileloomError(
-            ErrorKind.SAMPLER_FAILED, f"{plan.may_have_run} attempts failed without a response"
+            ErrorKind.SAMPLER_FAILED, f"{plan.possible_runs} attempts failed without a response"
         )
 
     def _deadline_error(self, plan: AttemptPlan) -> StileloomError:
-        if plan.may_have_run or plan.running:
+        if plan.possible_runs or plan.running:
             tried = ", ".join(sorted(plan.tried - plan.refused_by))
             return StileloomError(ErrorKind.DEADLINE_PASSED, f"no answer in time from {tried}")
         return StileloomError(ErrorKind.OVERLOADED, "not started before the deadline")
 
     def _apply_outcome(self, lookup: Lookup, plan: AttemptPlan, attempt: Attempt) -> bool:
-        """Applies an outcome to the plan; returns whether there is a response to pass on."""
+        """Records an attempt's outcome; returns whether it has a response for the caller."""
         now = steady_time()
         sampler_id = attempt.sampler_id
         outcome = attempt.outcome
@@ -191,13 +191,13 @@
                 "sampler": sampler_id,
                 "outcome": outcome.value,
                 "detail": attempt.detail,
-                "ran": plan.may_have_run,
+                "ran": plan.possible_runs,
                 "left_ms": round((lookup.deadline_at - now) * 1000),
             },
         )
         return False
 
-    async def _attempt(self, lookup: Lookup, tracked: SamplerBelief) -> Attempt:
+    async def _run_attempt(self, lookup: Lookup, tracked: SamplerBelief) -> Attempt:
         entry = tracked.entry
         tracked.open_requests += 1
         try:
--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -1,4 +1,4 @@
-"""HTTP server of a gateway: lookups and streams by route, and calls about batch jobs."""
+"""HTTP server of a gateway: lookups and streams by route, and calls that concern batch jobs."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 class Front(HTTPServerConnectionDelegate):
-    """HTTP server delegate; one per gateway."""
+    """Tornado's delegate for the requests of one gateway's callers."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self.draining = False
         """Whether responses carry `Connection: close`."""
         self.closing = False
-        """Whether new requests are refused as not run: connections may close at any moment."""
+        """Whether new requests are refused, since connections may be closed at any moment."""
         self.max_body_bytes = IngressLimits().max_body_bytes
         self.idle_timeout_s = IngressLimits().idle_timeout_s
         self._dialect = dialect
@@ -107,12 +107,12 @@
         self._results = ResultReader(jobs, ResultCache(), keeps_results)
         self._log = log
         self._metrics = metrics
-        self._open = 0
+        self._open_requests = 0
 
     @property
     def open_requests(self) -> int:
         """Number of requests without a final response."""
-        return self._open
+        return self._open_requests
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> _CallerExchange:
         """Called by tornado for each new request."""
@@ -125,7 +125,7 @@
 
         Cancelled when the caller disconnects.
         """
-        self._open += 1
+        self._open_requests += 1
         route_name = "job call"
         try:
             if self.closing:
@@ -144,7 +144,7 @@
         except StileloomError as error:
             return self._refuse(request, error)
         finally:
-            self._open -= 1
+            self._open_requests -= 1
             self._metrics.latency.labels(route_name).observe(steady_time() - request.arrived_at)
 
     def _find_route(self, request: CallerRequest) -> Route:
@@ -189,18 +189,18 @@
             caller_address=request.caller_address,
         )
         service = self._routes.choose_backend(route)
-        answer: LookupAnswer | None
+        response: LookupAnswer | None
         if route.kind is RouteKind.STREAMING and writer is not None:
-            answer = await self._relay.relay(lookup, route, service, writer)
-            if answer is None:
+            response = await self._relay.relay(lookup, route, service, writer)
+            if response is None:
                 self._metrics.requests.labels(route.name, "200").inc()
                 return None
         else:
-            answer = await self._forwarder.forward(lookup, route, service)
-        head = answer.head
+            response = await self._forwarder.forward(lookup, route, service)
+        head = response.head
         headers = end_to_end(head.headers.get_all(), head.headers.get("Connection", ""))
         self._metrics.requests.labels(route.name, str(head.status)).inc()
-        return CallerResponse(head.status, head.reason, headers, answer.body)
+        return CallerResponse(head.status, head.reason, headers, response.body)
 
     # Jobs.
 
@@ -267,7 +267,7 @@
         self._log.emit(LogEvent.INTERNAL_FAULT, fields)
 
     def _identity_fields(self, request: CallerRequest, error: StileloomError) -> dict[str, object]:
-        """The identity of a quarantined request, which relates it to sampler crashes."""
+        """The log field that relates a quarantined request to sampler crashes."""
         if error.kind is not ErrorKind.QUARANTINED:
             return {}
         headers = request.headers.get_all()
@@ -320,10 +320,10 @@
         self._task: asyncio.Task[None] | None = None
         self._streaming = False
 
-    # The caller's side of a stream.
+    # Implementation of `StreamWriter`.
 
     def start(self, head: ResponseHead) -> None:
-        """Sends the head of the first sampler's response."""
+        """Sends the head of the response."""
         self._streaming = True
         headers = HTTPHeaders()
         for name, value in end_to_end(head.headers.get_all(), head.headers.get("Connection", "")):
@@ -389,7 +389,7 @@
 
     async def _serve(self, request: CallerRequest) -> None:
         try:
-            answer = await self._front.serve(request, self)
+            response = await self._front.serve(request, self)
         except asyncio.CancelledError:
             raise
         except Exception as error:
@@ -397,16 +397,16 @@
             if self._streaming:
                 self.abort()
                 return
-            answer = CallerResponse(500, "Internal Server Error", [], b"")
-        if answer is None:
+            response = CallerResponse(500, "Internal Server Error", [], b"")
+        if response is None:
             return
         headers = HTTPHeaders()
-        for name, value in answer.headers:
+        for name, value in response.headers:
             headers.add(name, value)
-        headers["Content-Length"] = str(len(answer.body))
+        headers["Content-Length"] = str(len(response.body))
         if self._front.draining:
             headers["Connection"] = "close"
-        start_line = ResponseStartLine("HTTP/1.1", answer.status, answer.reason)
-        body = answer.body if request.method != "HEAD" else b""
+        start_line = ResponseStartLine("HTTP/1.1", response.status, response.reason)
+        body = response.body if request.method != "HEAD" else b""
         self._connection.write_headers(start_line, headers, body)
         self._connection.finish()
--- a/stileloom/proxy/lookup.py
+++ b/stileloom/proxy/lookup.py
@@ -1,4 +1,4 @@
-"""A caller's request to be forwarded, and a sampler's complete response."""
+"""A caller's request that is forwarded to samplers, and a sampler's complete response."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     arrived_at: float
     """Monotonic seconds."""
     deadline_at: float
-    """When the caller or the route gives up, in monotonic seconds."""
+    """When the caller's or the route's timeout ends, in monotonic seconds."""
     caller_address: str = ""
     """The caller's network address, for logs only."""
 
@@ -34,4 +34,4 @@
     head: ResponseHead
     body: bytes
     failed_attempts: int = 0
-    """Number of attempts answered with status 500, if this response is the last of them."""
+    """For an error response: the number of attempts that got status 500. Otherwise 0."""
--- a/stileloom/proxy/route_table.py
+++ b/stileloom/proxy/route_table.py
@@ -1,4 +1,4 @@
-"""The active routes: matching by host and longest path prefix, and weighted backend selection."""
+"""The active routes, matched by host and longest path prefix, and weighted choice of a backend."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
     def choose_backend(self, route: Route) -> str:
         """Selects a service of the route by weight.
 
-        Uses a low-discrepancy sequence with a random start: the shares of each node are close to
-        the weights after a few requests, and nodes are not synchronized.
+        Uses a low-discrepancy sequence, so that each node's shares are close to the weights after
+        a few requests. Its start is random, so that nodes don't choose the same service in step.
         """
         if len(route.backends) == 1:
             return route.backends[0].service
--- a/stileloom/proxy/sampler_access.py
+++ b/stileloom/proxy/sampler_access.py
@@ -1,4 +1,4 @@
-"""Dependencies shared by everything in one process that sends requests to samplers."""
+"""Dependencies shared by the components of a process that send requests to samplers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SamplerAccess(msgspec.Struct, frozen=True):
-    """One per process."""
+    """What a process needs to send requests to samplers; one per process."""
 
     zone: str
     """Zone whose samplers are preferred."""
--- a/stileloom/proxy/sampler_table.py
+++ b/stileloom/proxy/sampler_table.py
@@ -1,7 +1,7 @@
 """Samplers tracked by a node: the directory's listing combined with local observations.
 
-The first indication that a sampler is leaving is final for that incarnation: directories lag, and
-an older listing must not bring it back. A later start under the same id is a new incarnation.
+The first indication that a sampler is draining is final for that incarnation: a directory that lags
+may still list it as available. A later start under the same id is a new incarnation.
 """
 
 from __future__ import annotations
@@ -31,37 +31,37 @@
 
 
 class SamplerChange(enum.Enum):
-    """What changed with a new entry."""
+    """What a new entry changed."""
 
     NONE = "none"
     DRAINING = "draining"
-    """The sampler is leaving."""
+    """The sampler is draining."""
     RESTARTED = "started again"
-    """A new process under the same id; earlier observations no longer apply."""
+    """A new process under the same id; observations of the earlier one were dropped."""
 
 
 class SamplerTable:
-    """Listed samplers that are not leaving."""
+    """Listed samplers that are not draining."""
 
     def __init__(self) -> None:
         self.listed_once = False
         self._tracked: dict[str, SamplerBelief] = {}
         self._latest_start_ms: dict[str, int] = {}
         """Latest start time by sampler id, in Unix milliseconds."""
-        self._leaving: set[str] = set()
-        """Ids whose latest incarnation is leaving."""
+        self._draining: set[str] = set()
+        """Ids whose latest incarnation is draining."""
 
     def replace_all(self, entries: list[SamplerEntry]) -> list[str]:
-        """Applies a complete listing; returns the ids that are gone or have restarted."""
+        """Applies a complete listing; returns the ids removed, restarted or newly draining."""
         self.listed_once = True
         listed = {entry.sampler_id for entry in entries}
-        gone = [sampler_id for sampler_id in self._tracked if sampler_id not in listed]
-        for sampler_id in gone:
+        changed = [sampler_id for sampler_id in self._tracked if sampler_id not in listed]
+        for sampler_id in changed:
             self.remove(sampler_id)
         for entry in entries:
             if self.put(entry) is not SamplerChange.NONE:
-                gone.append(entry.sampler_id)
-        return gone
+                changed.append(entry.sampler_id)
+        return changed
 
     def put(self, entry: SamplerEntry) -> SamplerChange:
         """Adds or updates a sampler; ignores entries of earlier incarnations."""
@@ -72,12 +72,12 @@
         self._latest_start_ms[sampler_id] = entry.born_ms
         restarted = latest_start_ms is not None and entry.born_ms > latest_start_ms
         if restarted:
-            self._leaving.discard(sampler_id)
+            self._draining.discard(sampler_id)
             self._tracked.pop(sampler_id, None)
         if entry.draining:
-            known = not self.mark_leaving(sampler_id)
-            return SamplerChange.NONE if known else SamplerChange.DRAINING
-        if sampler_id in self._leaving:
+            already_draining = not self.mark_leaving(sampler_id)
+            return SamplerChange.NONE if already_draining else SamplerChange.DRAINING
+        if sampler_id in self._draining:
             return SamplerChange.NONE
         tracked = self._tracked.get(sampler_id)
         if tracked is None:
@@ -88,16 +88,16 @@
 
     def mark_leaving(self, sampler_id: str) -> bool:
         """Excludes this incarnation from new requests; returns whether that is new."""
-        is_new = sampler_id not in self._leaving
-        self._leaving.add(sampler_id)
+        is_new = sampler_id not in self._draining
+        self._draining.add(sampler_id)
         self._tracked.pop(sampler_id, None)
         return is_new
 
     def remove(self, sampler_id: str) -> None:
         """Removes a sampler that the directory no longer lists.
 
-        It may be added again, since entries also expire while the directory is unavailable. Only an
-        explicit leave is final.
+        It may be added again, since entries also expire while the directory is unavailable. Only
+        draining is final.
         """
         self._tracked.pop(sampler_id, None)
 
@@ -114,7 +114,7 @@
         return [tracked for tracked in self._tracked.values() if tracked.entry.service == service]
 
     def responsive_incarnations(self, service: str) -> set[str]:
-        """Incarnations of a service whose latest attempt from this node did not fail."""
+        """Incarnations of a service that have not failed since their last response to this node."""
         return {
             tracked.entry.incarnation
             for tracked in self.of_service(service)
@@ -129,7 +129,7 @@
             tracked.suspect_until = now + SUSPECT_S
 
     def answered(self, sampler_id: str) -> None:
-        """Records a response and ends the avoidance."""
+        """Records a response: the sampler is no longer avoided."""
         tracked = self._tracked.get(sampler_id)
         if tracked is not None:
             tracked.failures = 0
--- a/stileloom/proxy/stream_relay.py
+++ b/stileloom/proxy/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relays streaming responses event by event.
+"""Relays streaming responses from samplers to callers, event by event.
 
 A broken stream is resumed at another sampler after its last complete event if the route allows it;
 the caller keeps the head of the first response. Otherwise the request is sent again only if a
@@ -32,8 +32,8 @@
 EVENT_TIMEOUT_S = 1.2
 """A resumable stream is moved to another sampler after this time without data."""
 RESUME_RETRY_DELAY_S = 0.03
-"""Delay between two rounds over samplers for a stream that has started. Such a stream is retried
-until its deadline."""
+"""Delay before samplers are tried again for a stream that has started; it is retried until its
+deadline."""
 EVENT_STREAM_TYPE = "text/event-stream"
 
 
@@ -66,7 +66,7 @@
 
     end: _RunEnd
     detail: str = ""
-    answer: LookupAnswer | None = None
+    response: LookupAnswer | None = None
 
 
 class _ResponseQueue:
@@ -86,7 +86,7 @@
 
 
 class StreamRelay:
-    """Owns the connections for streams."""
+    """Relays streams on its own connections to samplers."""
 
     def __init__(self, access: SamplerAccess) -> None:
         self._zone = access.zone
@@ -105,9 +105,10 @@
     async def relay(
         self, lookup: Lookup, route: Route, service: str, writer: StreamWriter
     ) -> LookupAnswer | None:
-        """Relays a stream; returns None if it started, otherwise a sampler's error response.
+        """Relays a stream. Returns None if the response to the caller was started, or else a
+        sampler's response that is not a stream.
 
-        Raises `StileloomError` if nothing was sent to the caller.
+        Raises `StileloomError` if there is neither.
         """
         permit = await self._guard.admit(lookup.request_id, lookup.identity)
         plan = AttemptPlan(
@@ -130,8 +131,8 @@
                 refusal = await self._wait_for_sampler(lookup, plan, stream)
                 if refusal is None:
                     continue
-                if last_run is not None and last_run.answer is not None:
-                    return last_run.answer
+                if last_run is not None and last_run.response is not None:
+                    return last_run.response
                 raise refusal
             began_at = steady_time()
             last_run = await self._run(lookup, plan, tracked, stream, route.resumable)
@@ -141,24 +142,24 @@
                 permit.succeeded()
                 writer.end_stream()
                 return None
-        return self._final_failure(plan, stream, last_run)
+        return self._finish_incomplete(plan, stream, last_run)
 
-    def _final_failure(
+    def _finish_incomplete(
         self, plan: AttemptPlan, stream: _StreamState, last_run: _Run | None
     ) -> LookupAnswer | None:
         if stream.started:
             stream.writer.abort()
             return None
-        if last_run is not None and last_run.answer is not None:
-            return last_run.answer
-        if plan.may_have_run:
-            raise StileloomError(ErrorKind.SAMPLER_FAILED, f"{plan.may_have_run} runs failed")
+        if last_run is not None and last_run.response is not None:
+            return last_run.response
+        if plan.possible_runs:
+            raise StileloomError(ErrorKind.SAMPLER_FAILED, f"{plan.possible_runs} runs failed")
         raise StileloomError(ErrorKind.OVERLOADED, "not started before the deadline")
 
     async def _wait_for_sampler(
         self, lookup: Lookup, plan: AttemptPlan, stream: _StreamState
     ) -> StileloomError | None:
-        """Waits before samplers are tried again; returns an error if the request is refused."""
+        """Waits until samplers may be tried again, or returns the error to refuse with."""
         delay_s = RESUME_RETRY_DELAY_S
         if stream.started:
             plan.unreachable.clear()
@@ -215,9 +216,9 @@
         body = b""
         while True:
             remaining_s = lookup.deadline_at - steady_time()
-            limit_s = min(remaining_s, EVENT_TIMEOUT_S) if resumable else remaining_s
+            timeout_s = min(remaining_s, EVENT_TIMEOUT_S) if resumable else remaining_s
             try:
-                async with asyncio.timeout(max(0.001, limit_s)):
+                async with asyncio.timeout(max(0.001, timeout_s)):
                     part = await response.parts.get()
             except TimeoutError:
                 return _Run(_RunEnd.BROKEN, "unresponsive")
@@ -295,11 +296,11 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether the current run ended within an event."""
+        """Whether the last event of the current run is incomplete."""
         return self._splitter.has_partial
 
     def begin(self, head: ResponseHead) -> None:
-        """Starts a run; only the head of the first run is sent to the caller."""
+        """Starts to read a run's events; the caller gets only the head of the first run."""
         self._splitter = EventSplitter()
         if not self.started:
             self.started = True
--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -1,4 +1,4 @@
-"""One node's view of suspects: the fleet's listing, and local crashes that are not yet in it."""
+"""Suspects as known to one node: the fleet's listing, and local crashes not yet covered by it."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
         self._listed: dict[str, SuspectSummary] = {}
         self._received_at = 0.0
         self._pending: dict[str, dict[str, int | None]] = {}
-        """Local crashes by identity and sampler incarnation. The value is the revision of the first
-        listing that includes the crash, or None until the ledger has accepted it."""
+        """Local crashes by identity and sampler incarnation. The value is the listing revision from
+        which on the registry has counted the crash, or None until the ledger has accepted it."""
         self._successes: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
@@ -52,21 +52,21 @@
         self._received_at = now
         self._listed = {summary.identity: summary for summary in listing.suspects}
         for identity in list(self._pending):
-            self._drop_listed(identity)
+            self._drop_covered(identity)
         return [
             identity
             for identity, summary in self._listed.items()
             if summary.held and self._succeeded_recently(identity, now)
         ]
 
-    def _drop_listed(self, identity: str) -> None:
-        unlisted = {
-            sampler: listed_from
-            for sampler, listed_from in self._pending.pop(identity).items()
-            if listed_from is None or listed_from > self._revision
+    def _drop_covered(self, identity: str) -> None:
+        uncovered = {
+            sampler: covered_from
+            for sampler, covered_from in self._pending.pop(identity).items()
+            if covered_from is None or covered_from > self._revision
         }
-        if unlisted:
-            self._pending[identity] = unlisted
+        if uncovered:
+            self._pending[identity] = uncovered
 
     def _succeeded_recently(self, identity: str, now: float) -> bool:
         succeeded_at = self._successes.pop(identity, None)
@@ -80,12 +80,12 @@
         self._successes.pop(crash.identity, None)
 
     def mark_reported(self, crashes: list[SamplerEnd], revision: int) -> None:
-        """Marks crashes as accepted by the ledger; listings from `revision` on include them."""
+        """Marks crashes as accepted by the ledger; listings from `revision` on count them."""
         for crash in crashes:
             samplers = self._pending.get(crash.identity)
             if samplers is not None and crash.sampler in samplers:
                 samplers[crash.sampler] = revision
-                self._drop_listed(crash.identity)
+                self._drop_covered(crash.identity)
 
     def record_success(self, identity: str, now: float) -> bool:
         """Records a successful response; returns whether the request was a suspect."""
@@ -105,13 +105,14 @@
     def is_held(self, identity: str) -> bool:
         """Whether the request is quarantined.
 
-        Local crashes that are not yet listed count as well, since the ledger may be unreachable.
+        Local crashes that the listing does not cover yet count as well, since the ledger may be
+        unreachable.
         """
         listed = self._listed.get(identity)
         if listed is not None and listed.held:
             return True
-        has_unlisted_crashes = identity in self._pending
-        return has_unlisted_crashes and len(self.ends_under(identity)) >= ENDS_ALONE
+        has_uncovered_crashes = identity in self._pending
+        return has_uncovered_crashes and len(self.ends_under(identity)) >= ENDS_ALONE
 
     def trial_in_s(self, identity: str, now: float) -> float:
         """Time until a trial may be requested; infinite if the request is not quarantined."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -62,7 +62,7 @@
 
     def test_a_lookup_that_may_have_run_has_an_unknown_outcome(self) -> None:
         lookup = plan(full=False)
-        lookup.may_have_run = 1
+        lookup.possible_runs = 1
         kind, _ = self.decide(lookup, 0.0)  # type: ignore[misc]
         self.assertIs(ErrorKind.SAMPLER_FAILED, kind)
 
