--- a/stileloom/samplers/__init__.py
+++ b/stileloom/samplers/__init__.py
@@ -1,4 +1,4 @@
-"""Samplers: ownership, load reports, and the generations that run on them."""
+"""Ownership of samplers, their load reports, and the generations that run on them."""
 
 from stileloom.samplers.owner import CommitWanted, SamplerOwner
 
--- a/stileloom/samplers/effects.py
+++ b/stileloom/samplers/effects.py
@@ -1,4 +1,4 @@
-"""Effects requested by the components that talk to engines."""
+"""Effects for the driver to execute on engines. Replies arrive as calls of the named methods."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OpenStream(msgspec.Struct, frozen=True):
-    """Starts a generation; answered by `stream_*` calls with the request's id."""
+    """Starts a generation; its output arrives in `stream_*` calls with the request's id."""
 
     sampler_id: str
     request: GenerateRequest
@@ -22,7 +22,7 @@
 
 
 class ConfirmNotRun(msgspec.Struct, frozen=True):
-    """Cancels a request by id and queries whether it started; answered by `cancel_confirmed`."""
+    """Cancels a request and asks whether it had started; answered by `cancel_confirmed`."""
 
     sampler_id: str
     request_id: str
@@ -35,7 +35,7 @@
 
 
 class SendOrder(msgspec.Struct, frozen=True):
-    """Sends a fenced order to an engine. The next load report shows its effect."""
+    """Sends a fenced order to an engine. It has no reply: the next load report shows its effect."""
 
     sampler_id: str
     order: EngineOrder
--- a/stileloom/samplers/messages.py
+++ b/stileloom/samplers/messages.py
@@ -9,16 +9,16 @@
 
 
 class GenerationKey(msgspec.Struct, frozen=True, array_like=True):
-    """Identifies one attempt to fill a slot."""
+    """Identifies one attempt to generate the sample of a slot."""
 
     round_name: str
     slot: int
     attempt: str
-    """`epoch.sequence` of the controller that started it; never reused."""
+    """Unique: the epoch of the controller that started it, and a sequence number."""
 
 
 class PartialGeneration(msgspec.Struct, frozen=True, array_like=True):
-    """Valid tokens of an earlier attempt."""
+    """Tokens of an earlier attempt that the next one continues."""
 
     tokens: list[int]
     segments: list[Segment]
@@ -36,7 +36,7 @@
 
 
 class StopGeneration(msgspec.Struct, frozen=True, tag=True):
-    """Controller to owner: cancel a generation and return its tokens."""
+    """Controller to owner: cancel a generation and return its tokens as `GenerationInterrupted`."""
 
     key: GenerationKey
 
@@ -48,11 +48,11 @@
     sampler_id: str
     partial: PartialGeneration
     failed: bool
-    """True if the sampler failed, false if a stop was requested."""
+    """Whether the sampler or its stream failed; false if the owner stopped the generation."""
 
 
 class GenerationFinished(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller: the ledger accepted or refused the attempt's sample."""
+    """Owner to controller: the attempt's sample was accepted or refused by the ledger."""
 
     key: GenerationKey
     sampler_id: str
@@ -81,14 +81,15 @@
 
 
 class SamplerReport(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller and gateways: the latest load of its samplers."""
+    """Owner to controller and gateways: the latest loads of its samplers."""
 
     loads: list[LoadRow]
     unreachable: list[str]
-    """Samplers that are unresponsive."""
+    """Ids of unresponsive samplers."""
 
 
 class RunningReport(msgspec.Struct, frozen=True, tag=True):
-    """Owner to controller: all its running generations, for adoption and loss detection."""
+    """Owner to controller: all generations in progress. A new controller adopts them; those that no
+    report contains any more were lost."""
 
     running: list[RunningGeneration]
--- a/stileloom/samplers/owner.py
+++ b/stileloom/samplers/owner.py
@@ -32,8 +32,8 @@
 from stileloom.samplers.table import state_changed
 
 UNRESPONSIVE_AFTER_S = 2.0
-"""A sampler without a response for this long is reported as unreachable."""
-RUNNING_REPORT_S = 2.0
+"""A sampler that has not responded for this long is reported as unreachable."""
+RUNNING_REPORT_INTERVAL_S = 2.0
 
 
 class CommitWanted(msgspec.Struct, frozen=True):
@@ -81,7 +81,7 @@
 
 
 class SamplerOwner:
-    """Samplers owned by this node, and the generations it runs."""
+    """The samplers that a node owns, and the generations that it runs."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
@@ -107,14 +107,14 @@
         self._next_gateway_report_at = float("-inf")
 
     def set_owned(self, now: float, sampler_ids: set[str]) -> None:
-        """Applies the assignment of samplers; generations in progress are completed regardless."""
+        """Applies the assignment of samplers; generations on samplers that it removes continue."""
         for sampler_id in sampler_ids - self._owned.keys():
             self._owned[sampler_id] = _OwnedSampler(owned_since=now)
         for sampler_id in self._owned.keys() - sampler_ids:
             del self._owned[sampler_id]
 
     def tick(self, now: float, leader: str | None, gateways: dict[str, list[str]]) -> list[Effect]:
-        """Polls samplers and sends reports; `gateways` lists the routing nodes by sampler."""
+        """Polls samplers and sends reports; `gateways` lists the gateway nodes by sampler."""
         effects: list[Effect] = []
         for sampler_id, owned in self._owned.items():
             if now >= owned.next_poll_at:
@@ -128,7 +128,7 @@
             effects += self._report(now, {leader: set(self._owned)})
         new_leader = leader is not None and leader != self._controller
         if leader is not None and (now >= self._next_running_report_at or new_leader):
-            self._next_running_report_at = now + RUNNING_REPORT_S
+            self._next_running_report_at = now + RUNNING_REPORT_INTERVAL_S
             self._controller = leader
             effects.append(Send(leader, RunningReport(self.running())))
         return effects
@@ -146,12 +146,12 @@
         ]
 
     def load_reported(self, now: float, sampler_id: str, load: LoadReport | None) -> None:
-        """Handles the reply to a load query; None if the engine did not respond."""
+        """Handles the result of a load query; `load` is None if the engine did not respond."""
         owned = self._owned.get(sampler_id)
         if owned is None or load is None:
             return
         if owned.load is not None and state_changed(owned.load, load):
-            # Swaps and role changes wait for this report.
+            # Weight swaps and role changes wait for this report, so it is sent at once.
             self._next_gateway_report_at = now
             self._next_controller_report_at = now
         owned.load = load
@@ -177,10 +177,10 @@
         ]
         effects: list[Effect] = []
         for target in sorted(samplers_by_target):
-            wanted = samplers_by_target[target]
+            sampler_ids = samplers_by_target[target]
             report = SamplerReport(
-                [row for sampler_id, row in rows.items() if sampler_id in wanted],
-                [sampler_id for sampler_id in unreachable if sampler_id in wanted],
+                [row for sampler_id, row in rows.items() if sampler_id in sampler_ids],
+                [sampler_id for sampler_id in unreachable if sampler_id in sampler_ids],
             )
             if report.loads or report.unreachable:
                 effects.append(Send(target, report))
@@ -228,7 +228,8 @@
         return [close, *self._interrupt(request_id, failed=False)]
 
     def hand_over(self) -> list[Effect]:
-        """Stops all generations and returns their tokens, to be continued at another owner."""
+        """Stops all generations and sends their tokens to the controller, which has other owners
+        continue them."""
         effects: list[Effect] = []
         for generation in list(self._generations.values()):
             effects += self._stop(generation.order.key)
@@ -239,8 +240,8 @@
         return request_id in self._generations
 
     def stream_chunk(self, request_id: str, chunk: StreamChunk) -> list[Effect]:
-        """Appends tokens. A gap or an unknown version interrupts the attempt with the tokens before
-        it."""
+        """Appends a chunk's tokens. A chunk out of order or of an unknown version is dropped and
+        interrupts the attempt."""
         generation = self._generations.get(request_id)
         if generation is None or generation.committing:
             return []
@@ -255,7 +256,7 @@
         return []
 
     def stream_end(self, request_id: str, end: StreamEnd) -> list[Effect]:
-        """Handles the final frame: commits the sample if its token count matches."""
+        """Handles the end of a stream: commits the sample if it is complete."""
         generation = self._generations.get(request_id)
         if generation is None or generation.committing:
             return []
@@ -275,7 +276,7 @@
     def committed(
         self, now: float, key: GenerationKey, result: CommandResult | None
     ) -> list[Effect]:
-        """Handles the ledger's result; None means a timeout, after which the commit is retried."""
+        """Handles the ledger's result; after a timeout (None) the commit is retried."""
         request_id = _request_id(key)
         generation = self._generations.get(request_id)
         if generation is None:
@@ -309,5 +310,5 @@
     def _notify_controller(
         self, message: GenerationFinished | GenerationInterrupted
     ) -> list[Effect]:
-        """Sends to the current leader; a lost message is detected by the next running report."""
+        """Sends to the current leader; `RunningReport` makes up for a lost message."""
         return [Send(self._controller, message)] if self._controller is not None else []
--- a/stileloom/samplers/table.py
+++ b/stileloom/samplers/table.py
@@ -1,4 +1,4 @@
-"""A node's view of all samplers: the machine list joined with load reports and drains."""
+"""Samplers as known to a node: the machine list combined with load reports and drain requests."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
         return self.load.running + self.load.waiting if self.load is not None else 0
 
     def usable(self, now: float) -> bool:
-        """Whether it may be assigned work: recently reported, not leaving, and serving a known
-        version."""
+        """Whether it may be assigned work: it was reported recently, is not leaving, and serves a
+        known weight version."""
         if self.leaving or self.unreachable or self.load is None:
             return False
         if now > self.heard_at + constants.SAMPLER_REPORT_STALE_S:
@@ -41,7 +41,7 @@
 
 
 class SamplerTable:
-    """All samplers by id. The first indication of leaving is final."""
+    """All samplers by id. The first indication that a sampler is leaving is final."""
 
     def __init__(self) -> None:
         self._views: dict[str, SamplerView] = {}
@@ -52,7 +52,7 @@
         """Incremented when the set of samplers or of leaving samplers changes."""
 
     def get(self, sampler_id: str) -> SamplerView | None:
-        """One sampler, or None."""
+        """The sampler, or None if it is not in the machine list."""
         return self._views.get(sampler_id)
 
     def views(self) -> list[SamplerView]:
@@ -62,7 +62,7 @@
         return list(self._by_pool.get(pool, {}).values())
 
     def set_machines(self, machines: list[Machine]) -> list[Effect]:
-        """Applies a machine list. A sampler that was removed and listed again is a new one."""
+        """Applies a machine list. Nothing is kept of samplers that are missing from it."""
         effects: list[Effect] = []
         listed = {machine.sampler_id: machine for machine in machines}
         for sampler_id in self._views.keys() - listed.keys():
@@ -105,7 +105,7 @@
         return effects
 
     def mark_leaving(self, sampler_id: str) -> list[Effect]:
-        """Excludes a sampler from new work, regardless of later reports."""
+        """Excludes a sampler from new work; later reports do not undo this."""
         view = self._views.get(sampler_id)
         if view is None or view.leaving:
             return []
