--- a/stileloom/proxy/front.py
+++ b/stileloom/proxy/front.py
@@ -50,6 +50,7 @@
 JOB_CALL_DEADLINE_S = 4.0
 """Default deadline of job calls."""
 DEADLINE_MARGIN_S = 0.05
+"""Requests end this long before the caller's deadline, so that the response arrives in time."""
 CLOSING_RETRY_AFTER_S = 0.05
 UNKNOWN_OUTCOME_STATUS = 504
 """Replaces 503 for a job call whose outcome is unknown, since 503 implies that it did not run."""
@@ -177,7 +178,7 @@
         request_id = request.headers.get(id_header)
         if not request_id:
             raise StileloomError(ErrorKind.BAD_REQUEST, f"header {id_header} is missing")
-        limit_s = min(self._deadline_s(request, DEFAULT_DEADLINE_S), route.timeout_s)
+        timeout_s = min(self._deadline_s(request, DEFAULT_DEADLINE_S), route.timeout_s)
         lookup = Lookup(
             request_id=request_id,
             method=request.method,
@@ -185,7 +186,7 @@
             headers=end_to_end(request.headers.get_all(), request.headers.get("Connection", "")),
             body=request.body,
             arrived_at=request.arrived_at,
-            deadline_at=request.arrived_at + max(0.001, limit_s - DEADLINE_MARGIN_S),
+            deadline_at=request.arrived_at + max(0.001, timeout_s - DEADLINE_MARGIN_S),
             caller_address=request.caller_address,
         )
         service = self._routes.choose_backend(route)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Lookups that no sampler accepts: which wait for a free slot, and which are refused at once.
+"""Lookups that no sampler accepts: whether they wait for a free slot or are refused at once.
 
 Guards against retrying unreachable samplers until the deadline, and against fixed waits at full
 samplers that exceed what the target latency allows.
@@ -33,8 +33,8 @@
 
 
 def plan(started_at: float = 0.0, full: bool = True) -> AttemptPlan:
-    """A lookup that every sampler refused."""
-    made = AttemptPlan(
+    """A lookup without an accepted attempt; `full` if samplers refused it."""
+    lookup = AttemptPlan(
         service=SERVICE,
         zone="a",
         repeatable=True,
@@ -42,15 +42,15 @@
         target_latency_s=TARGET_S,
         started_at=started_at,
     )
-    made.full = full
-    return made
+    lookup.full = full
+    return lookup
 
 
 class DecisionTest(testtools.TestCase):
-    """Decisions if no candidate sampler is left."""
+    """Decisions of `wait_or_refuse`."""
 
     def decide(self, lookup: AttemptPlan, now: float, deadline_at: float = DEADLINE_S) -> object:
-        """The delay in seconds, or the error's kind and its Retry-After."""
+        """The delay in seconds, or the error's kind and its Retry-After in seconds."""
         decision = wait_or_refuse(lookup, 3, deadline_at, now)
         if isinstance(decision, StileloomError):
             return (decision.kind, decision.retry_after_s)
@@ -83,16 +83,16 @@
 class AbsentServiceTest(testtools.TestCase):
     """Every sampler of a service is down."""
 
-    def refused(self, crashes_sampler: bool) -> tuple[int, str, int]:
-        """Status and code of a lookup, and the number of connections it opened to samplers.
+    def send_lookup(self, crashes_sampler: bool) -> tuple[int, str, int]:
+        """Status and code of a lookup, and the number of connections opened to samplers for it.
 
-        If a sampler is to crash under the lookup, the other one is already down.
+        With `crashes_sampler` the last sampler runs until it crashes under the lookup.
         """
-        seen: list[tuple[int, str, int]] = []
+        results: list[tuple[int, str, int]] = []
         opened: list[tuple[str, int]] = []
         original_open = SamplerConnection.open
 
-        async def counted(address: tuple[str, int]) -> SamplerConnection:
+        async def open_and_record(address: tuple[str, int]) -> SamplerConnection:
             opened.append(address)
             return await original_open(address)
 
@@ -102,43 +102,44 @@
                 cluster.samplers["chart-2"].faults.ends_at = frozenset({"/charts/7"})
             else:
                 await cluster.samplers["chart-2"].stop()
-            with mock.patch.object(SamplerConnection, "open", counted):
+            with mock.patch.object(SamplerConnection, "open", open_and_record):
                 answer = await cluster.call(
                     "POST", "/charts/7", b"x", request_id="r1", deadline_ms=LONG_DEADLINE_MS
                 )
             code = msgspec.json.decode(answer.body)["code"]
-            seen.append((answer.code, code, len(opened)))
+            results.append((answer.code, code, len(opened)))
 
         with_cluster(scenario)
-        return seen[0]
+        return results[0]
 
     def test_a_lookup_tries_each_unreachable_sampler_once(self) -> None:
-        self.assertEqual((503, "no_sampler", 2), self.refused(crashes_sampler=False))
+        self.assertEqual((503, "no_sampler", 2), self.send_lookup(crashes_sampler=False))
 
     def test_a_lookup_that_crashes_the_last_sampler_fails_at_once(self) -> None:
-        status, code, opened = self.refused(crashes_sampler=True)
+        status, code, opened = self.send_lookup(crashes_sampler=True)
         self.assertEqual((502, "sampler_failed"), (status, code))
         self.assertTrue(opened <= 3, opened)
 
 
 class Burst(msgspec.Struct):
-    """Samplers of one service and the lookups sent to them, in virtual time."""
+    """Samplers of one service and the lookups that arrive, in virtual time."""
 
     slots: int
-    """Lookups that run or are queued at the samplers; further ones are refused."""
+    """Number of lookups that the samplers accept at a time, running or queued."""
     work_s: float
     arrivals: list[float]
-    """Times of the callers' first attempts, in seconds."""
+    """Arrival times of the callers' first requests, in seconds."""
 
 
 class Outcomes(msgspec.Struct):
-    """Outcomes of the callers."""
+    """What became of the callers' lookups."""
 
     in_time: int = 0
     late: int = 0
     failed: int = 0
     failed_retries: int = 0
     wasted_wait_s: float = 0.0
+    """Total time that lookups waited before they were refused."""
 
 
 Policy = Callable[[AttemptPlan, int, float, float], float | StileloomError]
@@ -147,74 +148,76 @@
 def baseline_policy(
     lookup: AttemptPlan, listed: int, deadline_at: float, now: float
 ) -> float | StileloomError:
-    """Baseline policy: rounds 30 ms apart within 0.22 of the target, then Retry-After of 50 ms."""
+    """Retries every 30 ms for 22 % of the target latency, then refuses with Retry-After 50 ms."""
     if now - lookup.started_at + 0.03 > lookup.target_latency_s * 0.22:
         return StileloomError(ErrorKind.OVERLOADED, "", retry_after_s=0.05)
     return 0.03
 
 
 def simulate(burst: Burst, policy: Policy, seed: int) -> Outcomes:
-    """Simulates a burst; each caller retries once, after Retry-After and a round trip."""
+    """Simulates a burst; a refused caller retries once, after Retry-After and a round trip."""
     rng = random.Random(seed)
     outcomes = Outcomes()
     running = 0
     order = 0
     events: list[tuple[float, int, str, AttemptPlan | None, float, bool]] = []
 
-    def at(when: float, kind: str, lookup: AttemptPlan | None, first: float, again: bool) -> None:
+    def schedule(
+        at: float, kind: str, lookup: AttemptPlan | None, first_arrival: float, is_retry: bool
+    ) -> None:
         nonlocal order
         order += 1
-        heapq.heappush(events, (when, order, kind, lookup, first, again))
+        heapq.heappush(events, (at, order, kind, lookup, first_arrival, is_retry))
 
     for arrival in burst.arrivals:
-        at(arrival, "ask", plan(arrival, full=False), arrival, False)
+        schedule(arrival, "arrival", plan(arrival, full=False), arrival, False)
     while events:
-        now, _, kind, lookup, first, again = heapq.heappop(events)
+        now, _, kind, lookup, first_arrival, is_retry = heapq.heappop(events)
         if kind == "done":
             running -= 1
             continue
         assert lookup is not None
-        if kind == "again":
+        if kind == "next_round":
             lookup.reset_refusals()
         if running < burst.slots:
             running += 1
             took_s = burst.work_s * rng.uniform(0.7, 1.3)
-            at(now + took_s, "done", None, 0.0, False)
-            outcomes.in_time += now + took_s <= first + TARGET_S
-            outcomes.late += first + TARGET_S < now + took_s
+            schedule(now + took_s, "done", None, 0.0, False)
+            outcomes.in_time += now + took_s <= first_arrival + TARGET_S
+            outcomes.late += first_arrival + TARGET_S < now + took_s
             continue
         lookup.full = True
-        decision = policy(lookup, 3, first + DEADLINE_S, now)
+        decision = policy(lookup, 3, first_arrival + DEADLINE_S, now)
         if not isinstance(decision, StileloomError):
-            at(now + decision, "again", lookup, first, again)
+            schedule(now + decision, "next_round", lookup, first_arrival, is_retry)
             continue
         outcomes.wasted_wait_s += now - lookup.started_at
-        outcomes.failed += again
-        outcomes.failed_retries += again
-        if not again:
-            back_at = now + (decision.retry_after_s or 0.0) + rng.uniform(0.006, 0.012)
-            at(back_at, "ask", plan(back_at, full=False), first, True)
+        outcomes.failed += is_retry
+        outcomes.failed_retries += is_retry
+        if not is_retry:
+            retry_at = now + (decision.retry_after_s or 0.0) + rng.uniform(0.006, 0.012)
+            schedule(retry_at, "arrival", plan(retry_at, full=False), first_arrival, True)
     return outcomes
 
 
 class BurstBenchmark(testtools.TestCase):
-    """Bursts over full samplers: 18 slots and 38 ms of work allow some 470 lookups per second."""
+    """Bursts at samplers with 18 slots and 38 ms of work: about 470 lookups per second."""
 
     def burst(self, per_second: float, seconds: float, seed: int) -> Burst:
-        """Callers at a constant rate."""
+        """Arrivals at random times, at a constant mean rate."""
         rng = random.Random(seed)
         arrivals = sorted(rng.uniform(0.0, seconds) for _ in range(int(per_second * seconds)))
         return Burst(slots=18, work_s=0.038, arrivals=arrivals)
 
     def compare(self, per_second: float, seconds: float) -> tuple[Outcomes, Outcomes]:
-        """Outcomes of the same bursts with the baseline policy and with the current one."""
+        """Totals of the same five bursts with the baseline policy and with the current one."""
         totals = (Outcomes(), Outcomes())
         for seed in range(5):
             burst = self.burst(per_second, seconds, seed)
             for total, policy in zip(totals, (baseline_policy, wait_or_refuse), strict=True):
-                played = simulate(burst, policy, seed)
+                result = simulate(burst, policy, seed)
                 for name in Outcomes.__struct_fields__:
-                    setattr(total, name, getattr(total, name) + getattr(played, name))
+                    setattr(total, name, getattr(total, name) + getattr(result, name))
         return totals
 
     def test_a_burst_at_capacity_is_served_in_time(self) -> None:
@@ -224,15 +227,15 @@
         self.assertTrue(now.failed < before.failed / 2)
         self.assertTrue(now.wasted_wait_s < before.wasted_wait_s / 2)
 
-    def test_more_of_a_short_burst_is_served_in_time(self) -> None:
+    def test_more_lookups_of_a_short_burst_are_served_in_time(self) -> None:
         """Guards against retries that come back too early or too late for their target."""
         before, now = self.compare(1500, 0.2)
         self.assertTrue(now.in_time > before.in_time)
         self.assertTrue(now.failed < before.failed)
         self.assertTrue(now.wasted_wait_s < before.wasted_wait_s)
 
-    def test_a_long_burst_is_held_for_less_time(self) -> None:
-        """Guards against holding lookups that are refused in the end."""
+    def test_lookups_of_a_long_burst_wait_less_before_they_are_refused(self) -> None:
+        """Guards against long waits of lookups that are refused in the end."""
         before, now = self.compare(1500, 2.0)
         self.assertTrue(now.in_time > 0.98 * before.in_time)
         self.assertTrue(now.failed < before.failed)
--- a/tests/test_end_probe.py
+++ b/tests/test_end_probe.py
@@ -1,4 +1,4 @@
-"""Probes of a sampler's address."""
+"""Probes whether a process listens on a sampler's address."""
 
 from __future__ import annotations
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash every sampler that runs them, through gateways over real sockets.
+"""End-to-end tests with requests that crash every sampler that runs them, over real sockets.
 
 Guards against a poison request whose retries, under new request ids and at other gateways, crash
 all samplers of a service one after another.
@@ -31,7 +31,7 @@
 async def replace_crashed(
     cluster: ServiceCluster, service: str = "charts", poison: str = POISON
 ) -> int:
-    """Replaces each crashed sampler by one with a new id; returns how many there were."""
+    """Replaces each crashed sampler by one with a new id; returns how many had crashed."""
     crashed = [name for name, sampler in cluster.samplers.items() if sampler.ended_by]
     for name in crashed:
         await cluster.unlist(name)
@@ -52,7 +52,7 @@
 
 
 def runs_of(cluster: ServiceCluster, target: str) -> int:
-    """How often running samplers started a request."""
+    """How often the current samplers started a request."""
     runs = [run for sampler in cluster.samplers.values() for run in sampler.runs]
     return sum(run.target == target for run in runs)
 
@@ -137,7 +137,7 @@
 
         with_cluster(scenario)
 
-    def test_a_gateway_that_starts_after_a_leader_change_refuses_it(self) -> None:
+    def test_a_gateway_that_starts_after_a_leader_change_refuses_the_poison_lookup(self) -> None:
         """The quarantine is stored in the ledger and survives the loss of its leader."""
 
         async def scenario(cluster: ServiceCluster) -> None:
@@ -185,7 +185,7 @@
 
 
 class FalsePositiveTest(testtools.TestCase):
-    """Requests that shared a crash or lost a connection are served."""
+    """Requests that ran on crashed samplers or lost a connection are not quarantined."""
 
     def test_connection_resets_by_running_samplers_do_not_count_as_crashes(self) -> None:
         async def scenario(cluster: ServiceCluster) -> None:
@@ -201,7 +201,7 @@
         with_cluster(scenario)
 
     def test_two_hundred_requests_on_crashed_samplers_are_served_afterwards(self) -> None:
-        """The poison request crashes both samplers of the service twice, under all requests."""
+        """Twice, the poison request crashes both samplers of the service while all requests run."""
 
         async def scenario(cluster: ServiceCluster) -> None:
             async def send(number: int, turn: int) -> HTTPResponse:
@@ -252,7 +252,7 @@
             self.assertEqual({"good-1", "good-2"}, {result[0] for result in results})
             self.assertEqual({"succeeded"}, {result[1] for result in results})
             crashed += await replace_crashed(cluster, "drafts", target)
-            # Other items of the job run concurrently and may share all of the first three crashes.
+            # Another item may have run during all of the first three crashes.
             self.assertLessEqual(crashed, ENDS_SHARED)
             self.assertEqual(1, guard.view.quarantined_count)
 
--- a/tests/test_quarantine_book.py
+++ b/tests/test_quarantine_book.py
@@ -1,4 +1,4 @@
-"""The quarantine registry, and a node's view of it. No I/O."""
+"""Unit tests of the quarantine registry and of a node's view of it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     def test_two_hundred_requests_with_the_same_crashes_are_not_quarantined_until_one_differs(
         self,
     ) -> None:
-        """All requests on a sampler share its crash; at most one of them is the cause."""
+        """Guards against refusing all requests that were running on crashed samplers."""
         for sampler in ("a", "b", "c"):
             for number in range(200):
                 self.book.record(crashes(f"request-{number}", sampler), NOW)
@@ -48,13 +48,13 @@
         quarantined = [name for name in self.book.suspects if self.book.is_held(name)]
         self.assertEqual(["request-7"], quarantined)
 
-    def test_a_request_whose_crashes_another_one_explains_is_not_quarantined(self) -> None:
+    def test_a_request_whose_crashes_may_be_caused_by_another_one_is_not_quarantined(self) -> None:
         self.book.record(crashes("poison", "a", "b", "c", "d"), NOW)
         self.book.record(crashes("bystander", "a", "b", "c"), NOW)
         self.assertTrue(self.book.is_held("poison"))
         self.assertFalse(self.book.is_held("bystander"))
 
-    def test_inseparable_requests_are_both_quarantined_after_one_more_crash(self) -> None:
+    def test_requests_with_the_same_crashes_are_both_quarantined_after_one_more(self) -> None:
         samplers = ("a", "b", "c", "d")
         for count in range(1, ENDS_SHARED + 1):
             for name in ("one", "two"):
@@ -62,7 +62,7 @@
             self.assertEqual(count >= ENDS_SHARED, self.book.is_held("one"))
             self.assertEqual(count >= ENDS_SHARED, self.book.is_held("two"))
 
-    def test_a_successful_response_clears_a_request_and_is_published(self) -> None:
+    def test_a_successful_response_clears_a_request_and_increases_the_revision(self) -> None:
         self.book.record(crashes("popular", "a", "b", "c"), NOW)
         revision = self.book.revision
         self.assertEqual(["popular"], self.book.clear(["popular", "unknown"]))
@@ -112,7 +112,7 @@
         self.view = QuarantineView()
 
     def apply_listing(self) -> list[str]:
-        """Applies the current listing."""
+        """Applies the registry's current listing to the view."""
         return self.view.apply_listing(self.book.listing(NOW), 0.0)
 
     def test_local_crashes_count_while_the_ledger_is_unreachable(self) -> None:
@@ -130,8 +130,8 @@
         self.assertFalse(self.view.is_held("poison"))
 
     def test_reported_crashes_are_superseded_by_the_listing(self) -> None:
-        """Otherwise a release, or attribution to another request, would never reach the node that
-        reported them."""
+        """Guards against a node that keeps refusing a request although the request was released or
+        another one was found to be the cause."""
         reported = crashes("poison", "a", "b", "c")
         for crash in reported:
             self.view.record_crash(crash)
@@ -153,16 +153,16 @@
         self.assertEqual(["popular"], self.apply_listing())
 
     def test_one_successful_response_does_not_clear_a_request_twice(self) -> None:
-        self.view.record_success("turned", 0.0)
-        self.book.record(crashes("turned", "a", "b", "c"), NOW)
-        self.assertEqual(["turned"], self.apply_listing())
-        self.book.clear(["turned"])
-        self.book.record(crashes("turned", "d", "e", "f"), NOW)
+        self.view.record_success("newly-poisonous", 0.0)
+        self.book.record(crashes("newly-poisonous", "a", "b", "c"), NOW)
+        self.assertEqual(["newly-poisonous"], self.apply_listing())
+        self.book.clear(["newly-poisonous"])
+        self.book.record(crashes("newly-poisonous", "d", "e", "f"), NOW)
         self.assertEqual([], self.apply_listing())
 
     def test_an_old_successful_response_clears_nothing(self) -> None:
-        self.view.record_success("turned", -SUCCESS_RETENTION_S - 1.0)
-        self.book.record(crashes("turned", "a", "b", "c"), NOW)
+        self.view.record_success("newly-poisonous", -SUCCESS_RETENTION_S - 1.0)
+        self.book.record(crashes("newly-poisonous", "a", "b", "c"), NOW)
         self.assertEqual([], self.apply_listing())
 
     def test_a_trial_is_due_at_the_listed_time(self) -> None:
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -24,7 +24,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Arrivals at gateways; counts crashes after every gateway has the quarantine listing."""
+    """Requests that arrive at gateways, and the crashes that they cause."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,15 +32,15 @@
         self.now = 0.0
         self.views = {number: QuarantineView() for number in GATEWAY_IDS}
         self.reports: list[tuple[int, SamplerEnd]] = []
-        self.samplers = 0
-        self.crashes_after_all_up_to_date = 0
+        self.sampler_count = 0
+        self.crashes_with_all_up_to_date = 0
         self.popular_refusals = 0
         self.rng = random.Random(0)
 
-    def next_sampler(self) -> str:
-        """A new sampler id for each crash, as restarted samplers get new ids."""
-        self.samplers += 1
-        return f"sampler-{self.samplers}"
+    def new_sampler(self) -> str:
+        """A new sampler id, as the replacement of a crashed sampler gets one."""
+        self.sampler_count += 1
+        return f"sampler-{self.sampler_count}"
 
     @rule(gateway=strategies.sampled_from(GATEWAY_IDS))
     def poison_arrives(self, gateway: int) -> None:
@@ -49,8 +49,8 @@
         if view.is_held(POISON):
             return
         if self.book.is_held(POISON) and not self.reports and self.all_up_to_date():
-            self.crashes_after_all_up_to_date += 1
-        crash = SamplerEnd(POISON, self.next_sampler())
+            self.crashes_with_all_up_to_date += 1
+        crash = SamplerEnd(POISON, self.new_sampler())
         view.record_crash(crash)
         self.reports.append((gateway, crash))
 
@@ -62,7 +62,7 @@
             self.popular_refusals += 1
             return
         if coincidental_crash and len(view.ends_under(POPULAR)) < ENDS_ALONE - 1:
-            crash = SamplerEnd(POPULAR, self.next_sampler())
+            crash = SamplerEnd(POPULAR, self.new_sampler())
             view.record_crash(crash)
             self.reports.append((gateway, crash))
         if view.record_success(POPULAR, self.now):
@@ -99,18 +99,17 @@
 
     @invariant()
     def no_crash_once_all_gateways_have_the_listing(self) -> None:
-        """No crash follows once every gateway has the listing, whichever gateway the request
-        arrives at."""
-        assert self.crashes_after_all_up_to_date == 0
+        """A quarantined request causes no crash at any gateway once all have the listing."""
+        assert self.crashes_with_all_up_to_date == 0
 
     @invariant()
     def no_gateway_causes_more_than_three_crashes_by_itself(self) -> None:
-        """Local crashes alone quarantine the request at a gateway, also without the ledger."""
-        own: dict[int, int] = {}
+        """A gateway's own crashes quarantine the request there before they are reported."""
+        unreported: dict[int, int] = {}
         for gateway, crash in self.reports:
             if crash.identity == POISON:
-                own[gateway] = own.get(gateway, 0) + 1
-        assert all(count <= ENDS_ALONE for count in own.values())
+                unreported[gateway] = unreported.get(gateway, 0) + 1
+        assert all(count <= ENDS_ALONE for count in unreported.values())
 
     @invariant()
     def popular_requests_are_not_refused(self) -> None:
@@ -119,7 +118,7 @@
 
 
 class FleetTest(testtools.TestCase):
-    """Runs the state machine with the same examples each time."""
+    """Runs the state machine with reproducible examples."""
 
     def test_the_bound_holds_for_three_hundred_gateways(self) -> None:
         hypothesis.stateful.run_state_machine_as_test(
--- a/tests/test_quarantine_guard.py
+++ b/tests/test_quarantine_guard.py
@@ -1,4 +1,4 @@
-"""Attempts left to one arrival of a request, and reports to the ledger."""
+"""Attempts that the quarantine guard allows, and its reports to the ledger."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
 
 
 def crashed_sampler(name: str) -> SamplerEntry:
-    """A sampler whose port nobody listens on."""
+    """A sampler with no process listening on its port."""
     return SamplerEntry(name, "s", (HOST, free_port()), "a", 4, False, {}, born_ms=7)
 
 
 class GuardTest(testtools.TestCase):
-    """One guard, and arrivals of one request."""
+    """Admissions of one request by one guard."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -78,7 +78,7 @@
         self.guard.learn(QuarantineListing(1, [summary]))
 
     async def admitted_attempts(self) -> int | None:
-        """Attempts of a new arrival, or None if it is refused."""
+        """Attempts that a new arrival of the request is allowed, or None if it is refused."""
         try:
             permit = await self.guard.admit("r", lambda: IDENTITY)
         except StileloomError as error:
@@ -94,7 +94,7 @@
         self.assertIsNone(asyncio.run(self.admitted_attempts()))
 
     def test_a_request_whose_crashes_others_share_still_has_one_attempt(self) -> None:
-        """The request is not quarantined, so it must get an attempt, not a 502 at once."""
+        """Guards against a 502 for a request that is not quarantined but has no attempt left."""
         self.apply_listing(3, quarantined=False)
         self.assertEqual(1, asyncio.run(self.admitted_attempts()))
 
@@ -145,7 +145,7 @@
 
         asyncio.run(scenario())
 
-    def test_crashes_are_kept_until_the_ledger_is_available(self) -> None:
+    def test_crashes_are_reported_once_the_ledger_is_available_again(self) -> None:
         async def scenario() -> None:
             self.ledger.unavailable = True
             for number in range(3):
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Route table, sampler table, attempt plans and job registry. No I/O."""
+"""Unit tests of the route table, the sampler table, attempt plans and the job registry."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def route(name: str, prefix: str, *backends: Backend) -> Route:
-    """An idempotent route of host h."""
+    """A route for idempotent lookups on host h."""
     parts = list(backends) or [Backend(f"service-{name}", 1.0)]
     return Route(name, "h", prefix, RouteKind.SAFE, parts, 1.0, 0.2, 2)
 
@@ -38,7 +38,7 @@
 
 
 class RouteTableTest(testtools.TestCase):
-    """Matching, weights and monotonic versions."""
+    """Matching, weighted selection and monotonic versions."""
 
     def table(self, version: int, *routes: Route) -> RouteTable:
         """A table with one configuration."""
@@ -68,7 +68,7 @@
 
 
 class SamplerTableTest(testtools.TestCase):
-    """Indications that samplers leave, and restarts."""
+    """Draining, removed and restarted samplers."""
 
     def test_an_explicit_leave_is_final(self) -> None:
         table = SamplerTable()
@@ -115,10 +115,10 @@
 
 
 class AttemptPlanTest(testtools.TestCase):
-    """Number and placement of attempts."""
+    """Number of attempts, and selection of their samplers."""
 
     def plan(self, repeatable: bool) -> AttemptPlan:
-        """A plan of two attempts."""
+        """A plan with at most two attempts."""
         return AttemptPlan("s", "a", repeatable, 2, 0.2, 0.0)
 
     def test_a_request_that_may_have_run_is_retried_only_if_repeatable(self) -> None:
@@ -173,9 +173,9 @@
 
 
 class SavedEventsTest(testtools.TestCase):
-    """Two leaders save events of one item, and the later one lacks some of the earlier one's."""
+    """Two leaders save events of one item; the later one lacks some that the earlier one saved."""
 
-    def test_events_of_the_later_leader_replace_unknown_ones(self) -> None:
+    def test_events_of_the_later_leader_replace_those_it_does_not_know(self) -> None:
         book = JobBook()
         items = [JobItem("a", "/p", {}, b"", "")]
         book.submit(JobSubmission("j", "h", "/p", 0, "m", 0, 1, items))
@@ -211,14 +211,14 @@
     @stateful.precondition(lambda self: "j" in self.book.jobs)
     @stateful.rule(
         name=strategies.sampled_from(ITEMS),
-        keep=strategies.integers(0, 4),
+        known_count=strategies.integers(0, 4),
         parts=strategies.lists(strategies.text("xyz", min_size=1, max_size=2), max_size=3),
     )
-    def save(self, name: str, keep: int, parts: list[str]) -> None:
-        """A leader saves events after those that it knows."""
+    def save(self, name: str, known_count: int, parts: list[str]) -> None:
+        """A leader saves new events after the ones that it knows."""
         if any(result.item_id == name for result in self.expected):
             return
-        known = self.saved.get(name, [])[:keep]
+        known = self.saved.get(name, [])[:known_count]
         self.saved[name] = known + parts
         last = len(known) + len(parts)
         self.book.save("j", [ItemProgress(name, len(known), parts, last, [1])])
@@ -226,16 +226,16 @@
     @stateful.precondition(lambda self: "j" in self.book.jobs)
     @stateful.rule(
         name=strategies.sampled_from([*ITEMS, "foreign"]),
-        keep=strategies.integers(0, 4),
+        known_count=strategies.integers(0, 4),
         parts=strategies.lists(strategies.text("xyz", min_size=1, max_size=2), max_size=3),
         state=strategies.sampled_from(list(ItemState)),
     )
-    def finish(self, name: str, keep: int, parts: list[str], state: ItemState) -> None:
-        """A leader lists a result; only the first result of an item counts."""
-        known = self.saved.get(name, [])[:keep]
+    def finish(self, name: str, known_count: int, parts: list[str], state: ItemState) -> None:
+        """A leader records a result; only the first result of an item counts."""
+        known = self.saved.get(name, [])[:known_count]
         self.book.record("j", [FinishedItem(name, state, len(known), parts, [1])])
-        listed = any(result.item_id == name for result in self.expected)
-        if name in self.ITEMS and not listed:
+        recorded = any(result.item_id == name for result in self.expected)
+        if name in self.ITEMS and not recorded:
             text = "\n".join(known + parts) if state is ItemState.SUCCEEDED else ""
             self.expected.append(ItemResult(name, state, text, [1]))
 
@@ -247,7 +247,7 @@
 
     @stateful.invariant()
     def positions_never_change(self) -> None:
-        """Listed results keep their position and content."""
+        """Recorded results keep their position and content."""
         if "j" not in self.book.jobs:
             return
         job = self.book.jobs["j"]
