--- a/stileloom/proxy/exchange.py
+++ b/stileloom/proxy/exchange.py
@@ -38,7 +38,7 @@
     detail: str = ""
     entry: SamplerEntry | None = None
     """The sampler's entry when the attempt started."""
-    began_at: float = 0.0
+    started_at: float = 0.0
     """When the request was sent, in monotonic seconds."""
 
 
--- a/stileloom/proxy/forwarder.py
+++ b/stileloom/proxy/forwarder.py
@@ -101,11 +101,11 @@
                 attempts.discard(task)
                 attempt = task.result()
                 if attempt.outcome is AttemptOutcome.BROKEN and attempt.entry is not None:
-                    await permit.attempt_failed(attempt.entry, attempt.began_at)
+                    await permit.on_attempt_failed(attempt.entry, attempt.started_at)
                     plan.hedges = plan.hedges and not permit.suspected
                 if self._apply_outcome(lookup, plan, attempt) and attempt.head is not None:
                     if attempt.head.status < 500:
-                        permit.succeeded()
+                        permit.record_success()
                         self._log_response(lookup, plan, attempt)
                         return LookupAnswer(attempt.head, attempt.body)
                     last_failure = attempt
@@ -207,7 +207,7 @@
                 return Attempt(
                     entry.sampler_id, AttemptOutcome.NOT_CONNECTED, detail=type(error).__name__
                 )
-            began_at = steady_time()
+            started_at = steady_time()
             request = self._encode(lookup, entry.sampler_id)
             attempt = await run_exchange(
                 connection,
@@ -218,7 +218,7 @@
                 lookup.method,
             )
             self._pool.release(entry.sampler_id, connection)
-            return msgspec.structs.replace(attempt, entry=entry, began_at=began_at)
+            return msgspec.structs.replace(attempt, entry=entry, started_at=started_at)
         finally:
             tracked.open_requests -= 1
 
--- a/stileloom/proxy/stream_relay.py
+++ b/stileloom/proxy/stream_relay.py
@@ -134,12 +134,12 @@
                 if last_run is not None and last_run.response is not None:
                     return last_run.response
                 raise refusal
-            began_at = steady_time()
+            started_at = steady_time()
             last_run = await self._run(lookup, plan, tracked, stream, route.resumable)
             if last_run.end is _RunEnd.BROKEN:
-                await permit.attempt_failed(tracked.entry, began_at)
+                await permit.on_attempt_failed(tracked.entry, started_at)
             if last_run.end is _RunEnd.COMPLETE:
-                permit.succeeded()
+                permit.record_success()
                 writer.end_stream()
                 return None
         return self._finish_incomplete(plan, stream, last_run)
--- a/stileloom/quarantine/guard.py
+++ b/stileloom/quarantine/guard.py
@@ -109,9 +109,9 @@
             return True
         return len(samplers.responsive_incarnations(service) - self._crashed_samplers()) > 1
 
-    async def attempt_failed(self, entry: SamplerEntry, began_at: float) -> None:
+    async def on_attempt_failed(self, entry: SamplerEntry, started_at: float) -> None:
         """Handles a failed attempt: probes the sampler, and records a crash if it has crashed."""
-        ran_s = steady_time() - began_at
+        ran_s = steady_time() - started_at
         if ran_s > BEGAN_LATELY_S:
             return
         probing = self._guard.judge(self._request_id, self.identity, entry, ran_s)
@@ -128,7 +128,7 @@
         elif done.result():
             self._local_crashes.add(entry.incarnation)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Records a successful response, which clears the request if it was a suspect."""
         self._guard.answered(self.identity, suspected=self.suspected)
 
--- a/tests/test_quarantine_guard.py
+++ b/tests/test_quarantine_guard.py
@@ -102,7 +102,7 @@
         async def scenario() -> None:
             permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
-            await permit.attempt_failed(crashed_sampler("a"), now)
+            await permit.on_attempt_failed(crashed_sampler("a"), now)
             self.assertEqual(2, permit.attempts_left)
             self.assertTrue(permit.suspected)
             while not self.ledger.crashes:
@@ -129,7 +129,7 @@
                     self.guard._log, "emit", lambda event, fields: logged.append(event)
                 ),
             ):
-                await permit.attempt_failed(crashed_sampler("a"), now)
+                await permit.on_attempt_failed(crashed_sampler("a"), now)
                 await asyncio.sleep(0)
             self.assertEqual([LogEvent.INTERNAL_FAULT], logged)
             self.assertEqual(3, permit.attempts_left)
@@ -140,7 +140,7 @@
         async def scenario() -> None:
             permit = await self.guard.admit("r", lambda: IDENTITY)
             now = asyncio.get_running_loop().time()
-            await permit.attempt_failed(crashed_sampler("a"), now - BEGAN_LATELY_S - 1.0)
+            await permit.on_attempt_failed(crashed_sampler("a"), now - BEGAN_LATELY_S - 1.0)
             self.assertEqual(3, permit.attempts_left)
 
         asyncio.run(scenario())
@@ -151,7 +151,7 @@
             for number in range(3):
                 permit = await self.guard.admit(f"r{number}", lambda: IDENTITY)
                 now = asyncio.get_running_loop().time()
-                await permit.attempt_failed(crashed_sampler(f"s{number}"), now)
+                await permit.on_attempt_failed(crashed_sampler(f"s{number}"), now)
             self.assertIsNone(await self.admitted_attempts())
             self.ledger.unavailable = False
             while len(self.ledger.crashes) < 3:
@@ -170,7 +170,7 @@
         async def scenario() -> None:
             self.apply_listing(2, quarantined=False)
             permit = await self.guard.admit("r", lambda: IDENTITY)
-            permit.succeeded()
+            permit.record_success()
             while not self.ledger.successes:
                 await asyncio.sleep(0.01)
             self.assertEqual([IDENTITY], self.ledger.successes)
@@ -180,7 +180,7 @@
     def test_a_successful_response_of_any_other_request_sends_no_message(self) -> None:
         async def scenario() -> None:
             permit = await self.guard.admit("r", lambda: IDENTITY)
-            permit.succeeded()
+            permit.record_success()
             await asyncio.sleep(0)
             self.assertFalse(self.guard._reporting)
 
