--- a/stileloom/quarantine/book.py
+++ b/stileloom/quarantine/book.py
@@ -75,9 +75,9 @@
                 suspect = self.suspects.setdefault(crash.identity, Suspect())
             elif not self.is_held(crash.identity):
                 suspect.ends = {
-                    sampler: ended_at
-                    for sampler, ended_at in suspect.ends.items()
-                    if at_s <= ended_at + CRASH_RETENTION_S
+                    sampler: crashed_at
+                    for sampler, crashed_at in suspect.ends.items()
+                    if at_s <= crashed_at + CRASH_RETENTION_S
                 }
             if crash.sampler in suspect.ends:
                 continue
