--- a/stileloom/cli/main.py
+++ b/stileloom/cli/main.py
@@ -1,4 +1,4 @@
-"""`stileloom`: the command line."""
+"""Entry point of the `stileloom` command."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from stileloom.cli.errors import exit_on_error
 from stileloom.cli.scale import scale
 from stileloom.cli.trace import trace
-from stileloom.clock import run_program
+from stileloom.clock import run_main
 from stileloom.daemon.process import serve as serve_node
 from stileloom.logging import configure_logs
 from stileloom.settings import NodeSettings
@@ -38,11 +38,11 @@
     config: Annotated[Path, typer.Option(help="Settings of the node (TOML).")],
     node_id: Annotated[str | None, typer.Option(help="Overrides `node_id`.")] = None,
     zone: Annotated[str | None, typer.Option(help="Overrides `zone`.")] = None,
-    host: Annotated[str | None, typer.Option(help="Overrides `host`, an IP number.")] = None,
+    host: Annotated[str | None, typer.Option(help="Overrides `host`, an IP address.")] = None,
     port: Annotated[int | None, typer.Option(help="Overrides `port`.")] = None,
     http_port: Annotated[int | None, typer.Option(help="Overrides `http_port`.")] = None,
 ) -> None:
-    """Runs a node until SIGTERM, which drains it.
+    """Runs a node until SIGTERM, then drains it.
 
     Example: stileloom serve --config node.toml --port 7400
     """
@@ -56,7 +56,7 @@
     with exit_on_error():
         settings = load_settings(config, NodeSettings, overrides)
         configure_logs(settings.log.level)
-        run_program(serve_node(settings))
+        run_main(serve_node(settings))
 
 
 if __name__ == "__main__":
--- a/stileloom/http/rounds.py
+++ b/stileloom/http/rounds.py
@@ -157,7 +157,7 @@
         future = shell.waiters.expect_delivery(ticket)
         deadline = shell.now() + wait_s
         while True:
-            shell.run(shell.core.read_deliveries(shell.now(), request))
+            shell.run(shell.core.request_deliveries(shell.now(), request))
             remaining_s = max(0.05, deadline - shell.now())
             try:
                 async with asyncio.timeout(min(READ_RETRY_INTERVAL_S, remaining_s)):
--- a/stileloom/ledger/client.py
+++ b/stileloom/ledger/client.py
@@ -55,7 +55,7 @@
                 del self._pending[ticket]
                 effects.append(CommandFinished(ticket, None))
             elif now >= pending.retry_at:
-                self._tracker.silent(pending.sent_to)
+                self._tracker.mark_unresponsive(pending.sent_to)
                 effects += self._send(now, ticket)
         return effects
 
@@ -71,14 +71,14 @@
         return self._send_to(now, message.ticket, message.leader)
 
     def _send(self, now: float, ticket: int) -> list[Effect]:
-        target = self._tracker.ask(now)
+        target = self._tracker.next_target(now)
         if target is None:
-            self._pending[ticket].retry_at = now + constants.COMMAND_RETRY_S
+            self._pending[ticket].retry_at = now + constants.COMMAND_RETRY_INTERVAL_S
             return []
         return self._send_to(now, ticket, target)
 
     def _send_to(self, now: float, ticket: int, target: str) -> list[Effect]:
         pending = self._pending[ticket]
-        pending.retry_at = now + constants.COMMAND_RETRY_S
+        pending.retry_at = now + constants.COMMAND_RETRY_INTERVAL_S
         pending.sent_to = target
         return [Send(target, CommandForward(ticket, pending.command))]
--- a/stileloom/quarantine/authority.py
+++ b/stileloom/quarantine/authority.py
@@ -20,24 +20,24 @@
     StartTrial,
 )
 from stileloom.logging import EventLog
-from stileloom.quarantine.book import QuarantineBook
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
+from stileloom.quarantine.book import QuarantineRegistry
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
 
 
 class QuarantineReplica(Protocol):
     """The local ledger replica as used by the quarantine."""
 
-    def may_act(self) -> bool:
+    def is_active_leader(self) -> bool:
         """Whether this replica is the leader and holds the leader lease."""
 
-    def quarantine(self) -> QuarantineBook:
+    def quarantine(self) -> QuarantineRegistry:
         """The registry as applied by this replica."""
 
     async def propose(self, command: Command) -> CommandResult:
         """Commits a command. Raises `StileloomError` (LEDGER_UNAVAILABLE)."""
 
 
-class QuarantineAuthority:
+class QuarantineService:
     """Implements `QuarantineLedger` on the local replica."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self._notified_revision = -1
         self._logged_quarantined: set[str] = set()
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records crashes and successful responses; returns the revision that covers them."""
         if crashes:
             await self._propose(RecordSamplerEnds(crashes, self._wall_clock()))
@@ -89,7 +89,7 @@
             self._waiters.discard(waiter)
         return self._leader_registry().listing(self._wall_clock())
 
-    async def forget_expired(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes expired suspects from the registry."""
         at_s = self._wall_clock()
         if self._leader_registry().expired_identities(at_s):
@@ -104,8 +104,10 @@
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
-        quarantined = {identity for identity in registry.suspects if registry.is_held(identity)}
-        if self._ledger.may_act():
+        quarantined = {
+            identity for identity in registry.suspects if registry.is_quarantined(identity)
+        }
+        if self._ledger.is_active_leader():
             for identity in quarantined - self._logged_quarantined:
                 crashes = sorted(registry.suspects[identity].ends)
                 self._log.emit(LogEvent.REQUEST_HELD, {"identity": identity, "ends": crashes})
@@ -116,9 +118,9 @@
                 )
         self._logged_quarantined = quarantined
 
-    def _leader_registry(self) -> QuarantineBook:
+    def _leader_registry(self) -> QuarantineRegistry:
         """The leader's registry. Raises `StileloomError` on any other replica."""
-        if not self._ledger.may_act():
+        if not self._ledger.is_active_leader():
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "this replica is not the leader")
         return self._ledger.quarantine()
 
--- a/stileloom/quarantine/guard.py
+++ b/stileloom/quarantine/guard.py
@@ -18,13 +18,13 @@
 from stileloom.events import LogEvent
 from stileloom.logging import EventLog
 from stileloom.proxy.sampler_table import SamplerTable
-from stileloom.quarantine.book import ENDS_ALONE
+from stileloom.quarantine.book import CRASH_THRESHOLD
 from stileloom.quarantine.end_probe import ProbeResult, probe_listener
-from stileloom.quarantine.messages import QuarantineListing, SamplerEnd
+from stileloom.quarantine.messages import QuarantineListing, SamplerCrash
 from stileloom.quarantine.metrics import QuarantineMetrics
 from stileloom.quarantine.view import QuarantineView
 
-BEGAN_LATELY_S = 1.5
+CRASH_ATTRIBUTION_WINDOW_S = 1.5
 """A crash is attributed only to requests that started within this time before it. Poison requests
 crash a sampler within about 0.1 s of leaving its queue."""
 PROBE_WAIT_S = 0.03
@@ -42,7 +42,7 @@
 class QuarantineLedger(Protocol):
     """The ledger as seen by a guard. All calls raise `StileloomError` if no leader replies."""
 
-    async def report(self, crashes: list[SamplerEnd], succeeded: list[str]) -> int:
+    async def report(self, crashes: list[SamplerCrash], succeeded: list[str]) -> int:
         """Records crashes and successful responses; returns the revision that covers them."""
 
     async def watch(self, known_revision: int, wait_s: float) -> QuarantineListing | None:
@@ -89,15 +89,15 @@
         quarantined while other requests share all of them.
         """
         minimum = 0 if self._local_crashes else 1
-        return minimum if self._trial else max(minimum, ENDS_ALONE - self._crash_count())
+        return minimum if self._trial else max(minimum, CRASH_THRESHOLD - self._crash_count())
 
     def _crash_count(self) -> int:
-        if self._guard.view.empty and not self._local_crashes:
+        if self._guard.view.has_no_suspects and not self._local_crashes:
             return 0
         return len(self._crashed_samplers())
 
     def _crashed_samplers(self) -> set[str]:
-        return self._local_crashes | self._guard.view.ends_under(self.identity)
+        return self._local_crashes | self._guard.view.crashed_samplers(self.identity)
 
     def leaves_healthy_sampler(self, samplers: SamplerTable, service: str) -> bool:
         """Whether a healthy sampler of the service remains if the request crashes the next one.
@@ -112,9 +112,9 @@
     async def on_attempt_failed(self, entry: SamplerEntry, started_at: float) -> None:
         """Handles a failed attempt: probes the sampler, and records a crash if it has crashed."""
         ran_s = steady_time() - started_at
-        if ran_s > BEGAN_LATELY_S:
+        if ran_s > CRASH_ATTRIBUTION_WINDOW_S:
             return
-        probing = self._guard.judge(self._request_id, self.identity, entry, ran_s)
+        probing = self._guard.probe_sampler(self._request_id, self.identity, entry, ran_s)
         task = asyncio.get_running_loop().create_task(probing)
         task.add_done_callback(lambda done: self._on_probe_done(done, entry))
         await asyncio.wait((task,), timeout=PROBE_WAIT_S)
@@ -130,7 +130,7 @@
 
     def record_success(self) -> None:
         """Records a successful response, which clears the request if it was a suspect."""
-        self._guard.answered(self.identity, suspected=self.suspected)
+        self._guard.record_success(self.identity, suspected=self.suspected)
 
 
 class QuarantineGuard:
@@ -149,7 +149,7 @@
         self._metrics = metrics
         self._on_probe = on_probe
         self._tasks = BackgroundTasks(log)
-        self._unreported_crashes: list[SamplerEnd] = []
+        self._unreported_crashes: list[SamplerCrash] = []
         self._unreported_successes: list[str] = []
         self._reporting = False
         self._stopped = False
@@ -170,7 +170,7 @@
         A quarantined request is admitted for one run if the ledger grants a trial.
         """
         permit = Permit(self, request_id, compute_identity, trial=False)
-        if self.view.empty or not self.view.is_held(permit.identity):
+        if self.view.has_no_suspects or not self.view.is_quarantined(permit.identity):
             return permit
         identity = permit.identity
         trial_in_s = self.view.trial_in_s(identity, steady_time())
@@ -181,7 +181,7 @@
     def refusal(self, identity: str) -> StileloomError:
         """The error for a quarantined request; its Retry-After is the time until the next trial."""
         self._metrics.refused.inc()
-        crashed = sorted(self.view.ends_under(identity))
+        crashed = sorted(self.view.crashed_samplers(identity))
         trial_in_s = self.view.trial_in_s(identity, steady_time())
         detail = f"identity {identity}: samplers {', '.join(crashed)} crashed soon after its start"
         retry_after_s = round(trial_in_s) if 0.0 < trial_in_s < float("inf") else None
@@ -200,7 +200,7 @@
         )
         return granted
 
-    async def judge(
+    async def probe_sampler(
         self, request_id: str, identity: str, entry: SamplerEntry, ran_s: float
     ) -> bool:
         """Probes a sampler whose connection broke; if it crashed, reports that and returns True."""
@@ -216,7 +216,7 @@
         self._log.emit(LogEvent.SAMPLER_PROBED, fields)
         if result is not ProbeResult.REFUSED:
             return False
-        crash = SamplerEnd(identity, entry.incarnation)
+        crash = SamplerCrash(identity, entry.incarnation)
         self.view.record_crash(crash)
         self._unreported_crashes.append(crash)
         self._schedule_report()
@@ -227,7 +227,7 @@
         fields: dict[str, object] = {"request": request_id, "error": repr(error)}
         self._log.emit(LogEvent.INTERNAL_FAULT, fields)
 
-    def answered(self, identity: str, suspected: bool) -> None:
+    def record_success(self, identity: str, suspected: bool) -> None:
         """Records a successful response; reports it if the request was a suspect."""
         known = self.view.record_success(identity, steady_time())
         if known or suspected:
@@ -274,9 +274,9 @@
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if listing is not None:
-                self.learn(listing)
+                self.apply_listing(listing)
 
-    def learn(self, listing: QuarantineListing) -> None:
+    def apply_listing(self, listing: QuarantineListing) -> None:
         """Applies a listing; reports quarantined requests that recently succeeded at this node."""
         for identity in self.view.apply_listing(listing, steady_time()):
             self._report_success(identity)
@@ -284,7 +284,7 @@
             LogEvent.QUARANTINE_LEARNED,
             {
                 "revision": listing.revision,
-                "held": [item.identity for item in listing.suspects if item.held][:20],
+                "held": [item.identity for item in listing.suspects if item.quarantined][:20],
                 "suspects": len(listing.suspects),
             },
         )
--- a/stileloom/samplers/table.py
+++ b/stileloom/samplers/table.py
@@ -17,7 +17,7 @@
 
     machine: Machine
     load: LoadReport | None = None
-    heard_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
     leaving: bool = False
     unreachable: bool = False
 
@@ -35,7 +35,7 @@
         known weight version."""
         if self.leaving or self.unreachable or self.load is None:
             return False
-        if now > self.heard_at + constants.SAMPLER_REPORT_STALE_S:
+        if now > self.last_contact_at + constants.SAMPLER_REPORT_STALE_S:
             return False
         return self.load.state is EngineState.SERVING
 
@@ -74,7 +74,7 @@
                 self._views[sampler_id] = view
             view.machine = machine
             if machine.state is MachineState.LEAVING:
-                effects += self.mark_leaving(sampler_id)
+                effects += self.mark_draining(sampler_id)
         self._by_pool = {}
         for view in self._views.values():
             self._by_pool.setdefault(view.machine.pool, {})[view.sampler_id] = view
@@ -93,10 +93,10 @@
                 self.changes += 1
             effects += _version_events(view.load, load)
             view.load = load
-            view.heard_at = now
+            view.last_contact_at = now
             view.unreachable = False
             if load.state is EngineState.LEAVING:
-                effects += self.mark_leaving(load.sampler_id)
+                effects += self.mark_draining(load.sampler_id)
         for sampler_id in report.unreachable:
             view = self._views.get(sampler_id)
             if view is not None and not view.unreachable:
@@ -104,7 +104,7 @@
                 self.changes += 1
         return effects
 
-    def mark_leaving(self, sampler_id: str) -> list[Effect]:
+    def mark_draining(self, sampler_id: str) -> list[Effect]:
         """Excludes a sampler from new work; later reports do not undo this."""
         view = self._views.get(sampler_id)
         if view is None or view.leaving:
