--- a/stileloom/quarantine/view.py
+++ b/stileloom/quarantine/view.py
@@ -1,4 +1,4 @@
-"""One node's view of suspects: the fleet's listing, and its own crashes that are not yet in it."""
+"""Suspects as known to one node: the fleet's listing, and local crashes not yet covered by it."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from stileloom.quarantine.book import CRASH_THRESHOLD
 from stileloom.quarantine.messages import QuarantineListing, SamplerCrash, SuspectSummary
 
-MAX_PENDING = 4096
-"""Bounds memory to about 400 KB; more than the requests in flight at one gateway."""
+MAX_PENDING_IDENTITIES = 4096
+"""Bounds memory to about 400 KB; exceeds the number of requests in flight at one gateway."""
 MAX_REMEMBERED_SUCCESSES = 4096
 """Bounds memory to about 400 KB."""
 SUCCESS_RETENTION_S = 60.0
-"""How long a successful response clears a request: a poison request never succeeds."""
+"""How long a successful response counts as evidence that a request is not poison."""
 
 
 class QuarantineView:
-    """Performs no I/O; times are monotonic seconds."""
+    """Suspects as known to one node. Performs no I/O; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._revision = -1
         self._listed: dict[str, SuspectSummary] = {}
         self._received_at = 0.0
         self._pending: dict[str, dict[str, int | None]] = {}
-        """Local crashes by identity and sampler, each with the listing revision that covers it, or
-        None until the ledger has accepted it."""
+        """Local crashes by identity and sampler incarnation. The value is the listing revision from
+        which on the registry has counted the crash, or None until the ledger has accepted it."""
         self._successes: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
@@ -45,8 +45,8 @@
     def apply_listing(self, listing: QuarantineListing, now: float) -> list[str]:
         """Applies a listing; returns quarantined requests that recently succeeded at this node.
 
-        A poison request never succeeds, so these are false positives. Each remembered response is
-        used only once, in case the request has become poisonous since.
+        A poison request never succeeds, so these are false positives. Each successful response is
+        used only once: the request may have started to crash samplers after it.
         """
         self._revision = listing.revision
         self._received_at = now
@@ -74,13 +74,13 @@
 
     def record_crash(self, crash: SamplerCrash) -> None:
         """Records a crash seen by this node."""
-        if len(self._pending) >= MAX_PENDING and crash.identity not in self._pending:
+        if len(self._pending) >= MAX_PENDING_IDENTITIES and crash.identity not in self._pending:
             self._pending.pop(next(iter(self._pending)))
         self._pending.setdefault(crash.identity, {}).setdefault(crash.sampler, None)
         self._successes.pop(crash.identity, None)
 
     def mark_reported(self, crashes: list[SamplerCrash], revision: int) -> None:
-        """Marks crashes as accepted by the ledger; listings from `revision` on include them."""
+        """Marks crashes as accepted by the ledger; listings from `revision` on count them."""
         for crash in crashes:
             samplers = self._pending.get(crash.identity)
             if samplers is not None and crash.sampler in samplers:
@@ -105,14 +105,14 @@
     def is_quarantined(self, identity: str) -> bool:
         """Whether the request is quarantined.
 
-        Local crashes that the listing does not cover count as well, since the ledger may be
+        Local crashes that the listing does not cover yet count as well, since the ledger may be
         unreachable.
         """
         listed = self._listed.get(identity)
         if listed is not None and listed.quarantined:
             return True
-        has_unlisted_crashes = identity in self._pending
-        return has_unlisted_crashes and len(self.crashed_samplers(identity)) >= CRASH_THRESHOLD
+        has_uncovered_crashes = identity in self._pending
+        return has_uncovered_crashes and len(self.crashed_samplers(identity)) >= CRASH_THRESHOLD
 
     def trial_in_s(self, identity: str, now: float) -> float:
         """Time until a trial may be requested; infinite if the request is not quarantined."""
