--- a/stileloom/http1/buffered_response.py
+++ b/stileloom/http1/buffered_response.py
@@ -23,7 +23,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the response is complete."""
+        """Whether the exchange ended with a complete response."""
         return self.done.done() and self.done.result() is ExchangeEnd.COMPLETE
 
     def on_head(self, head: ResponseHead) -> None:
--- a/stileloom/http1/caller.py
+++ b/stileloom/http1/caller.py
@@ -14,7 +14,7 @@
 
 
 class NotSent(Exception):
-    """`may_send` returned False once a connection was available."""
+    """The request was not sent because `may_send` returned False."""
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
@@ -35,10 +35,11 @@
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> HttpResponse | None:
-    """Sends one request. Returns None if no complete response arrives in time.
+    """Sends a request; returns None if connecting fails or no complete response arrives in time.
 
     On a timeout the connection is closed instead of being returned to the pool. `may_send` is
-    checked once a connection is available; raises `NotSent` if it returns False.
+    called after connecting, right before the request is sent; if it returns False, `NotSent` is
+    raised.
     """
     all_headers = [("Host", f"{address[0]}:{address[1]}"), *headers]
     if body:
--- a/stileloom/http1/connection.py
+++ b/stileloom/http1/connection.py
@@ -12,12 +12,13 @@
 from stileloom.http1.response_decoder import MalformedResponse, ResponseDecoder, ResponseHead
 
 CONNECT_TIMEOUT_S = 0.5
-"""Shorter than the kernel's first SYN retransmission (1 s): a new attempt is faster."""
+"""Less than the kernel's first SYN retransmission timeout (1 s), as reconnecting is faster."""
 TCP_USER_TIMEOUT_MS = 2000
-KEEP_ALIVE_IDLE_S = 1
-KEEP_ALIVE_INTERVAL_S = 1
-KEEP_ALIVE_PROBES = 2
-KEEP_ALIVE_MARGIN_S = 1.0
+TCP_KEEPALIVE_IDLE_S = 1
+TCP_KEEPALIVE_INTERVAL_S = 1
+TCP_KEEPALIVE_PROBES = 2
+IDLE_TIMEOUT_MARGIN_S = 1.0
+"""Reuse of a connection stops this long before the idle timeout in its Keep-Alive header."""
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
@@ -53,7 +54,7 @@
         self._sink: ExchangeSink | None = None
         self._decoder = ResponseDecoder()
         self._reusable = True
-        self._idle_until = float("inf")
+        self._reusable_until = float("inf")
         self._rested_since = steady_time()
 
     @classmethod
@@ -79,7 +80,7 @@
             and not self._transport.is_closing()
             and self._sink is None
             and self._reusable
-            and steady_time() < self._idle_until
+            and steady_time() < self._reusable_until
         )
 
     def exchange(self, request: bytes, sink: ExchangeSink, method: str = "GET") -> None:
@@ -124,7 +125,7 @@
         self._reusable = False
         if self._sink is None:
             return
-        self._decoder.closed(clean=exc is None)
+        self._decoder.on_connection_closed(clean=exc is None)
         if self._decoder.done:
             self._finish(ExchangeEnd.COMPLETE)
         elif self._decoder.head is None:
@@ -147,8 +148,8 @@
             self._reusable = False
         match = _KEEP_ALIVE_TIMEOUT.search(head.headers.get("Keep-Alive", ""))
         if match is not None:
-            idle_s = max(0.0, int(match.group(1)) - KEEP_ALIVE_MARGIN_S)
-            self._idle_until = steady_time() + idle_s
+            idle_s = max(0.0, int(match.group(1)) - IDLE_TIMEOUT_MARGIN_S)
+            self._reusable_until = steady_time() + idle_s
 
 
 def _set_socket_options(tcp_socket: socket.socket) -> None:
@@ -157,6 +158,6 @@
     tcp_socket.setsockopt(tcp, socket.TCP_NODELAY, 1)
     tcp_socket.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    tcp_socket.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-    tcp_socket.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
-    tcp_socket.setsockopt(tcp, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_IDLE_S)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_INTERVAL_S)
+    tcp_socket.setsockopt(tcp, socket.TCP_KEEPCNT, TCP_KEEPALIVE_PROBES)
--- a/stileloom/http1/request_encoder.py
+++ b/stileloom/http1/request_encoder.py
@@ -18,7 +18,7 @@
         "expect",
     }
 )
-"""Hop-by-hop headers (RFC 9110, section 7.6.1), never forwarded."""
+"""Headers that are never forwarded: Expect and the hop-by-hop headers of RFC 9110, 7.6.1."""
 
 
 def encode_request(
@@ -34,9 +34,9 @@
 
 
 def end_to_end_headers(
-    headers: Iterable[tuple[str, str]], connection: str = ""
+    headers: Iterable[tuple[str, str]], connection_header: str = ""
 ) -> list[tuple[str, str]]:
-    """Returns the end-to-end headers; `connection` is the value of the Connection header."""
-    connection_options = {name.strip().lower() for name in connection.split(",")}
+    """Returns the headers to forward, without Content-Length, which the encoder sets."""
+    connection_options = {name.strip().lower() for name in connection_header.split(",")}
     dropped = HOP_BY_HOP | connection_options | {"content-length"}
     return [(name, value) for name, value in headers if name.lower() not in dropped]
--- a/stileloom/http1/response_decoder.py
+++ b/stileloom/http1/response_decoder.py
@@ -71,8 +71,8 @@
             pass
         return parts
 
-    def closed(self, clean: bool) -> None:
-        """The peer closed the connection; completes a response delimited by a clean close."""
+    def on_connection_closed(self, clean: bool) -> None:
+        """Completes a response of undeclared length if the peer closed the connection cleanly."""
         if self._stage is _Stage.UNTIL_CLOSE and clean:
             self._stage = _Stage.DONE
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -44,13 +44,13 @@
     def test_response_without_last_chunk_is_incomplete(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         decoder, _ = decode(head + b"3\r\nabc\r\n")
-        decoder.closed(clean=True)
+        decoder.on_connection_closed(clean=True)
         self.assertFalse(decoder.done)
 
     def test_close_delimited_response_is_complete_only_after_clean_close(self) -> None:
         for clean in (True, False):
             decoder, body = decode(b"HTTP/1.1 200 OK\r\n\r\nabc")
-            decoder.closed(clean=clean)
+            decoder.on_connection_closed(clean=clean)
             self.assertEqual((clean, b"abc"), (decoder.done, body))
 
     def test_trailing_data_is_detected(self) -> None:
