--- a/stileloom/transport/calls.py
+++ b/stileloom/transport/calls.py
@@ -35,7 +35,7 @@
         Raises `ValueError` if a frame is too long or cannot be decompressed.
         """
         self._buffer += data
-        frames: list[bytes] = []
+        bodies: list[bytes] = []
         while len(self._buffer) >= FRAME_HEADER.size:
             (length,) = FRAME_HEADER.unpack_from(self._buffer)
             if length > MAX_FRAME_BYTES:
@@ -44,9 +44,9 @@
             if len(self._buffer) < end:
                 break
             packed = bytes(self._buffer[FRAME_HEADER.size : end])
-            frames.append(unpack(packed, MAX_FRAME_BYTES))
+            bodies.append(unpack(packed, MAX_FRAME_BYTES))
             del self._buffer[:end]
-        return frames
+        return bodies
 
 
 def encode_frame(message: object, compress: bool = True) -> bytes:
@@ -102,7 +102,7 @@
         self._handler = handler
         self._compress = compress
         self._open_connections = open_connections
-        self._reader = FrameDecoder()
+        self._frame_decoder = FrameDecoder()
         self._transport: asyncio.Transport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -127,7 +127,7 @@
     def data_received(self, data: bytes) -> None:
         """Implements `asyncio.Protocol`."""
         try:
-            frames = [_CALL_DECODER.decode(frame) for frame in self._reader.feed(data)]
+            frames = [_CALL_DECODER.decode(body) for body in self._frame_decoder.feed(data)]
         except (ValueError, msgspec.DecodeError):
             self.close()
             return
@@ -154,7 +154,7 @@
     """Client side of a connection to one node; supports concurrent calls."""
 
     def __init__(self) -> None:
-        self._reader = FrameDecoder()
+        self._frame_decoder = FrameDecoder()
         self._transport: asyncio.Transport | None = None
         self._pending: dict[int, asyncio.Future[Reply]] = {}
         self._next_number = 1
@@ -189,7 +189,7 @@
     def data_received(self, data: bytes) -> None:
         """Implements `asyncio.Protocol`."""
         try:
-            frames = [_REPLY_DECODER.decode(frame) for frame in self._reader.feed(data)]
+            frames = [_REPLY_DECODER.decode(body) for body in self._frame_decoder.feed(data)]
         except (ValueError, msgspec.DecodeError):
             self.close()
             return
@@ -220,6 +220,7 @@
         finally:
             self._pending.pop(number, None)
             if future.done():
+                # Marks the exception as retrieved, so that asyncio does not log it.
                 with contextlib.suppress(asyncio.CancelledError, CallFailed):
                     future.exception()
 
@@ -229,7 +230,7 @@
 
     def __init__(self) -> None:
         self._connections: dict[tuple[str, int], CallConnection] = {}
-        self._connecting: dict[tuple[str, int], asyncio.Lock] = {}
+        self._connect_locks: dict[tuple[str, int], asyncio.Lock] = {}
 
     async def call(self, address: tuple[str, int], request: Request, timeout_s: float) -> Reply:
         """Calls a node. Closes the connection if no reply arrives. Raises `CallFailed`."""
@@ -242,7 +243,7 @@
             raise
 
     async def _get_connection(self, address: tuple[str, int]) -> CallConnection:
-        lock = self._connecting.setdefault(address, asyncio.Lock())
+        lock = self._connect_locks.setdefault(address, asyncio.Lock())
         async with lock:
             connection = self._connections.get(address)
             if connection is not None and connection.usable:
--- a/stileloom/transport/network.py
+++ b/stileloom/transport/network.py
@@ -26,9 +26,9 @@
 """Larger messages are always sent over TCP."""
 MAX_QUEUED_FRAMES = 1024
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_PAUSE_S = 0.2
+RECONNECT_DELAY_S = 0.2
 TCP_USER_TIMEOUT_MS = 1500
-"""Time after which unacknowledged data closes a connection."""
+"""A connection is closed if sent data remains unacknowledged for this long."""
 
 MessageHandler = Callable[[str, Any], None]
 
@@ -50,14 +50,14 @@
         self._codec = codec
         self._on_message = on_message
         self._peers: dict[tuple[str, int], _PeerConnection] = {}
-        self._datagrams: asyncio.DatagramTransport | None = None
+        self._datagram_transport: asyncio.DatagramTransport | None = None
         self._server = _FrameServer(self._on_frame)
 
     async def start(self, host: str, port: int) -> None:
         """Listens on TCP and UDP. Raises `OSError` if the port is in use."""
         self._server.listen(port, address=host)
         loop = asyncio.get_running_loop()
-        self._datagrams, _ = await loop.create_datagram_endpoint(
+        self._datagram_transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramProtocol(self._on_frame), local_addr=(host, port)
         )
 
@@ -66,9 +66,9 @@
         frame = self._codec.encode(message)
         self.traffic.sent_bytes += len(frame)
         self.traffic.sent_messages += 1
-        small = len(frame) <= MAX_DATAGRAM_BYTES and self._codec.uses_datagram(message)
-        if small and self._datagrams is not None:
-            self._datagrams.sendto(frame, address)
+        as_datagram = len(frame) <= MAX_DATAGRAM_BYTES and self._codec.uses_datagram(message)
+        if as_datagram and self._datagram_transport is not None:
+            self._datagram_transport.sendto(frame, address)
             return
         peer = self._peers.get(address)
         if peer is None:
@@ -79,8 +79,8 @@
     def stop(self) -> None:
         """Closes all sockets."""
         self._server.close()
-        if self._datagrams is not None:
-            self._datagrams.close()
+        if self._datagram_transport is not None:
+            self._datagram_transport.close()
         for peer in self._peers.values():
             peer.close()
 
@@ -170,7 +170,7 @@
                 self._stream = None
                 # Queued messages are outdated by now; senders retry those that still matter.
                 self._queue.clear()
-                await asyncio.sleep(RECONNECT_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _get_stream(self) -> IOStream:
         if self._stream is not None and not self._stream.closed():
