--- a/stileloom/http1/caller.py
+++ b/stileloom/http1/caller.py
@@ -26,7 +26,7 @@
 
 async def send_request(
     pool: ConnectionPool,
-    peer_id: str,
+    sampler_id: str,
     address: tuple[str, int],
     method: str,
     target: str,
@@ -45,11 +45,11 @@
     if body:
         all_headers.append(("Content-Type", "application/json"))
     try:
-        connection = await pool.acquire(peer_id, address)
+        connection = await pool.acquire(sampler_id, address)
     except (OSError, TimeoutError):
         return None
     if not may_send():
-        pool.release(peer_id, connection)
+        pool.release(sampler_id, connection)
         raise NotSent
     response = BufferedResponse()
     connection.exchange(encode_request(method, target, all_headers, body), response)
@@ -62,7 +62,7 @@
     except asyncio.CancelledError:
         connection.close()
         raise
-    pool.release(peer_id, connection)
+    pool.release(sampler_id, connection)
     if not response.complete or response.head is None:
         return None
     return HttpResponse(response.head, response.body)
--- a/stileloom/http1/pool.py
+++ b/stileloom/http1/pool.py
@@ -1,4 +1,4 @@
-"""Pool of keep-alive connections to samplers, keyed by the sampler's incarnation."""
+"""Pool of keep-alive connections to samplers, keyed by sampler id."""
 
 from __future__ import annotations
 
