--- a/stileloom/http/base.py
+++ b/stileloom/http/base.py
@@ -79,12 +79,12 @@
         self.set_header("Content-Type", "application/problem+json")
         self.set_header("X-Outcome", problem.outcome)
         if problem.retry_after_s is not None:
-            # Rounded up to full seconds: an earlier retry would be rejected again.
+            # Rounded up to whole seconds: an earlier retry would be rejected again.
             self.set_header("Retry-After", str(max(1, -int(-problem.retry_after_s // 1))))
         self.finish(msgspec.json.encode(problem))
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Converts any exception of a handler into a problem document."""
+        """Sends a problem document for any exception raised by a handler."""
         error = kwargs["exc_info"][1] if "exc_info" in kwargs else None  # type: ignore[index]
         if isinstance(error, StileloomError):
             self.send_problem(error)
--- a/stileloom/http/lookups.py
+++ b/stileloom/http/lookups.py
@@ -110,9 +110,9 @@
             prompt=prompt,
             max_tokens=max_tokens or default,
             tenant=headers.get("X-Tenant", "anonymous"),
-            priority=self._priority(),
-            repeatable=self._repeatable(),
-            deadline_at=self.shell.now() + self._remaining_s(),
+            priority=self._parse_priority(),
+            repeatable=self._parse_repeatable(),
+            deadline_at=self.shell.now() + self._parse_remaining_s(),
             idempotency_key=key,
             body_digest=xxhash.xxh3_64_intdigest(f"{service}\x00{prompt}\x00{max_tokens}".encode())
             >> 1,
@@ -120,19 +120,19 @@
             stream=stream,
         )
 
-    def _priority(self) -> int:
+    def _parse_priority(self) -> int:
         text = self.request.headers.get("X-Priority", "50")
         if not text.isdecimal() or int(text) > MAX_PRIORITY:
             raise StileloomError(ErrorKind.BAD_REQUEST, f"X-Priority: expected 0..{MAX_PRIORITY}")
         return int(text)
 
-    def _repeatable(self) -> bool:
+    def _parse_repeatable(self) -> bool:
         text = self.request.headers.get("X-Repeatable", "true")
         if text not in ("true", "false"):
             raise StileloomError(ErrorKind.BAD_REQUEST, "X-Repeatable: expected true or false")
         return text == "true"
 
-    def _remaining_s(self) -> float:
+    def _parse_remaining_s(self) -> float:
         text = self.request.headers.get("X-Deadline-Ms")
         if text is None:
             return constants.DEFAULT_DEADLINE_S
--- a/stileloom/http/native_dialect.py
+++ b/stileloom/http/native_dialect.py
@@ -56,7 +56,7 @@
 
 
 class RemovalStatus(msgspec.Struct, frozen=True):
-    """Progress of decommissioning a ledger node."""
+    """Progress of retiring a ledger node."""
 
     finished: bool
 
--- a/stileloom/http/rounds.py
+++ b/stileloom/http/rounds.py
@@ -89,7 +89,7 @@
 class RoundHandler(ApiHandler):
     """Base of the handlers for a round."""
 
-    async def command(self, command: Command) -> CommandResult:
+    async def submit_command(self, command: Command) -> CommandResult:
         """Submits a ledger command. Raises `StileloomError` if it is rejected."""
         result = await self.shell.command(command)
         if isinstance(result, Refused):
@@ -104,7 +104,7 @@
         """Adds prompts to a round."""
         body = self.parse_body(PromptsBody)
         prompts = [Prompt(p.prompt_id, p.text, p.max_tokens, p.group) for p in body.prompts]
-        result = await self.command(SubmitPrompts(round_name, body.batch_id, prompts))
+        result = await self.submit_command(SubmitPrompts(round_name, body.batch_id, prompts))
         assert isinstance(result, PromptsAccepted)
         self.send_json({"first_slot": result.first_slot, "count": result.count})
 
@@ -115,7 +115,7 @@
     async def post(self, round_name: str) -> None:
         """Acknowledges deliveries by offset."""
         body = self.parse_body(AcknowledgementBody)
-        await self.command(AcknowledgeDeliveries(round_name, body.offset))
+        await self.submit_command(AcknowledgeDeliveries(round_name, body.offset))
         self.send_json({"acknowledged": body.offset})
 
 
@@ -125,7 +125,7 @@
     async def post(self, round_name: str) -> None:
         """Publishes a weight version; has no effect if it is not newer."""
         body = self.parse_body(VersionBody)
-        result = await self.command(PublishVersion(round_name, body.version))
+        result = await self.submit_command(PublishVersion(round_name, body.version))
         self.send_json({"published": not (isinstance(result, Done) and result.duplicate)})
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,7 +22,7 @@
 from stileloom.node import NodeCore
 from stileloom.settings import LimitSettings, NodeSettings, PlatformSettings
 
-LIMIT = 2048
+MAX_BODY_BYTES = 2048
 
 
 def settings() -> NodeSettings:
@@ -34,11 +34,11 @@
         port=1,
         http_port=1,
         platform=PlatformSettings("127.0.0.1:1", "127.0.0.1:1"),
-        limits=LimitSettings(max_body_bytes=LIMIT),
+        limits=LimitSettings(max_body_bytes=MAX_BODY_BYTES),
     )
 
 
-class BadInputTest(tornado.testing.AsyncHTTPTestCase):
+class InvalidRequestTest(tornado.testing.AsyncHTTPTestCase):
     """A single node with a configuration, without reachable samplers."""
 
     def get_app(self) -> Application:
@@ -59,14 +59,14 @@
         return make_application(self.shell, settings())
 
     def get_http_server(self) -> HTTPServer:
-        return HTTPServer(self._app, max_body_size=LIMIT * 64)
+        return HTTPServer(self._app, max_body_size=MAX_BODY_BYTES * 64)
 
     def send(
         self, path: str, body: bytes | None = b"{}", method: str = "POST", **headers: str
     ) -> HTTPResponse:
-        """Sends one request."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        return self.fetch(path, method=method, body=body, headers=named, raise_error=False)
+        """Sends one request; underscores in header names stand for hyphens."""
+        header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
+        return self.fetch(path, method=method, body=body, headers=header_fields, raise_error=False)
 
     def assert_problem(
         self, response: HTTPResponse, status: int, code: str, outcome: str = "not_run"
@@ -92,7 +92,7 @@
         self.assertIn("colour", self.assert_problem(unknown, 400, "bad_request")["detail"])
 
     def test_body_over_the_limit(self) -> None:
-        body = json.dumps({"query": "x" * LIMIT}).encode()
+        body = json.dumps({"query": "x" * MAX_BODY_BYTES}).encode()
         self.assert_problem(self.send(self.lookup, body), 413, "body_too_large")
 
     def test_unknown_service_and_path(self) -> None:
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -29,7 +29,7 @@
 from stileloom_platform.dialect import PlatformDialect  # noqa: E402
 from stileloom_platform.object_store import PlatformObjectStore  # noqa: E402
 
-DEPTH = 100_000
+NESTING_DEPTH = 100_000
 DIALECT = PlatformDialect()
 
 
@@ -52,7 +52,7 @@
 class ConfigurationTest(testtools.TestCase):
     """Decoding of configurations, samplers and versions."""
 
-    def test_a_configuration(self) -> None:
+    def test_configuration_is_decoded(self) -> None:
         rollout = {"routeType": "rollout", "service": "z", "backends": [], "maxWaitS": 40.0}
         engine = {"slots": 16, "kvCapacityTokens": 500, "models": [{"name": "m"}], "new": 1}
         spec = {
@@ -80,7 +80,7 @@
         error = self.assertRaises(StileloomError, DIALECT.decode_sampler, record)
         self.assertEqual(ErrorKind.OBJECT_INVALID, error.kind)
 
-    def test_a_sampler_and_a_version(self) -> None:
+    def test_sampler_and_version_are_decoded(self) -> None:
         spec = {
             "service": "x",
             "address": "10.0.0.9:8080",
@@ -95,15 +95,15 @@
             ("i-1", True, {"m": 3}), (entry.sampler_id, entry.draining, entry.model_versions)
         )
         self.assertEqual(("10.0.0.9", 8080), entry.address)
-        named = DIALECT.decode_version({"model": "m", "version": 8})
-        self.assertEqual(("m", 8), (named.model, named.version))
+        published = DIALECT.decode_version({"model": "m", "version": 8})
+        self.assertEqual(("m", 8), (published.model, published.version))
 
 
 class ForeignEntryTest(testtools.TestCase):
     """Invalid directory entries are rejected and do not make the other entries unreadable."""
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """A valid entry with changes."""
+        """A valid entry in which `changes` replace or add fields."""
         spec = {"service": "x", "address": "10.0.0.9:8080", "zone": "z", "slots": 16}
         return {
             **spec,
@@ -159,8 +159,8 @@
         watch = msgspec.json.encode({"events": [{"object": item} for item in objects], "at": 9})
 
         async def scenario() -> None:
-            answers = {"/objects/servers": page, "/objects/servers?watch=1&waitMs=0": watch}
-            async with fixed_response_server(answers) as address:
+            responses = {"/objects/servers": page, "/objects/servers?watch=1&waitMs=0": watch}
+            async with fixed_response_server(responses) as address:
                 store = PlatformObjectStore(address)
                 listed = await store.list_objects("servers")
                 self.assertEqual(["i-2", "i-1"], [record.name for record in listed.records])
@@ -174,17 +174,17 @@
 
 
 @contextlib.asynccontextmanager
-async def fixed_response_server(answers: dict[str, bytes]) -> AsyncIterator[str]:
+async def fixed_response_server(responses: dict[str, bytes]) -> AsyncIterator[str]:
     """Runs a server with a fixed response body for each target; yields its address."""
 
-    def answer(request: HTTPServerRequest) -> None:
+    def respond(request: HTTPServerRequest) -> None:
         assert request.connection is not None
-        body = answers[request.uri or ""]
+        body = responses[request.uri or ""]
         headers = HTTPHeaders({"Content-Length": str(len(body))})
         request.connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, body)
         request.connection.finish()
 
-    server = HTTPServer(answer)
+    server = HTTPServer(respond)
     sockets = bind_sockets(0, address="127.0.0.1")
     server.add_sockets(sockets)
     yield f"127.0.0.1:{sockets[0].getsockname()[1]}"
@@ -195,7 +195,7 @@
 class JobCallTest(testtools.TestCase):
     """Translation of batch job calls."""
 
-    def test_reads_and_ends(self) -> None:
+    def test_job_requests_are_parsed(self) -> None:
         headers = {DIALECT.names.wait_ms: "1000"}
         call = DIALECT.job_call("GET", "/lots/7c41?afterRev=12", headers)
         self.assertEqual(ReadResults("7c41", 12, 1.0), call)
@@ -210,7 +210,7 @@
             error = self.assertRaises(StileloomError, DIALECT.job_call, "GET", target, {})
             self.assertEqual(ErrorKind.BAD_REQUEST, error.kind)
 
-    def test_a_job(self) -> None:
+    def test_job_is_decoded(self) -> None:
         item = {
             "id": "e5",
             "path": "/p/1",
@@ -226,7 +226,7 @@
 
     def test_invalid_jobs_are_rejected(self) -> None:
         one = {"id": "a", "path": "/p"}
-        deep = b"[" * DEPTH
+        deep = b"[" * NESTING_DEPTH
         for body in (
             b"",
             b"\xff\xfe",
@@ -244,23 +244,23 @@
         """Decodes and checks a job, as a gateway does."""
         check_submission(DIALECT.decode_job("j", "h", "/p", body))
 
-    def test_reward_calls(self) -> None:
+    def test_reward_calls_are_decoded_and_checked(self) -> None:
         reward = {"id": "s5", "host": "h.example", "path": "/q/1", "body": "q80="}
         body = {"requests": [{"id": "e5", "path": "/p/1", "scorerUrl": reward}]}
         job = DIALECT.decode_job("j", "h", "/p/j", msgspec.json.encode(body))
         self.assertEqual(RewardCall("s5", "h.example", "/q/1", b"\xab\xcd"), job.items[0].reward)
         for change in ({"body": "***"}, {"id": ""}, {"id": "e5"}, {"path": "q"}, {"host": ""}):
-            bad = {"id": "e5", "path": "/p/1", "scorerUrl": reward | change}
-            encoded = msgspec.json.encode({"requests": [bad]})
+            invalid_item = {"id": "e5", "path": "/p/1", "scorerUrl": reward | change}
+            encoded = msgspec.json.encode({"requests": [invalid_item]})
             error = self.assertRaises(StileloomError, self.decode_and_check, encoded)
             self.assertEqual(ErrorKind.BAD_REQUEST, error.kind)
 
-    def test_a_score(self) -> None:
+    def test_score_is_encoded(self) -> None:
         result = ItemResult("a", ItemState.SUCCEEDED, "x", [6], "stamp")
         page = msgspec.json.decode(DIALECT.encode_page(ResultPage(1, 1, [result])))
         self.assertEqual("stamp", page["results"][0]["score"])
 
-    def test_a_page(self) -> None:
+    def test_result_page_is_encoded(self) -> None:
         results = [
             ItemResult("a", ItemState.SUCCEEDED, "x\ny", [6, 7]),
             ItemResult("b", ItemState.GIVEN_UP, "", []),
@@ -274,9 +274,9 @@
 
 
 class OrderTest(testtools.TestCase):
-    """Translation of control requests to samplers."""
+    """Translation of load orders and sampler reports."""
 
-    def test_an_order_and_a_report(self) -> None:
+    def test_load_order_is_encoded_and_report_decoded(self) -> None:
         order = LoadOrder("m", 2, LoadStrategy.RETAIN, "node-7", 41, 5)
         call = DIALECT.order_call(order)
         self.assertEqual(("POST", "/order"), (call.method, call.target))
@@ -297,7 +297,7 @@
         )
 
 
-class FolderTest(testtools.TestCase):
+class AdapterBoundaryTest(testtools.TestCase):
     """The adapter stays small, and stileloom does not depend on it."""
 
     def test_size_and_dependencies(self) -> None:
