--- a/stileloom/api/dialect.py
+++ b/stileloom/api/dialect.py
@@ -26,7 +26,7 @@
     samplers: str = "samplers"
     versions: str = "versions"
     removals: str = "removals"
-    """Requests to decommission a ledger node."""
+    """Requests to retire a ledger node."""
     ledger_nodes: str = "ledger-nodes"
     voter_set: str = "voter-set"
 
@@ -45,9 +45,11 @@
     version: int
     strategy: LoadStrategy
     holder: str
+    """Id of the node that sends the order."""
     fence: int
+    """Fencing token: the epoch of that node's leadership."""
     expected_orders: int
-    """Number of load orders accepted so far; the sampler rejects the order if it differs."""
+    """Number of load orders the sampler has accepted; it rejects this one if its count differs."""
 
 
 class SamplerReport(msgspec.Struct, frozen=True):
@@ -138,4 +140,4 @@
         """Encodes a load order as a request."""
 
     def removal_status(self, finished: bool) -> Any:
-        """Returns the status of a request to decommission a ledger node."""
+        """Returns the status of a request to retire a ledger node."""
--- a/stileloom/api/jobs.py
+++ b/stileloom/api/jobs.py
@@ -62,14 +62,14 @@
 
 
 class FinishedItem(msgspec.Struct, frozen=True, array_like=True):
-    """Completion of an item, relative to its previously saved events."""
+    """Final result of an item; events that are already saved are not repeated."""
 
     item_id: str
     state: ItemState
     saved_parts: int
-    """Number of saved events at the start of the text."""
+    """Number of saved events that precede `parts` in the text; later saved ones are dropped."""
     parts: list[str]
-    """The remaining events."""
+    """The rest of the text."""
     versions: list[int]
     score: str = ""
 
--- a/stileloom/api/objects.py
+++ b/stileloom/api/objects.py
@@ -30,9 +30,9 @@
     keep_home: int = 1
     """Minimum number of samplers that are not lent."""
     lend_below: float = 1.0
-    """Lends a sampler if, after lending, lookups in progress per home sampler are below this."""
+    """Lends a sampler if the average number of lookups on the remaining ones stays below this."""
     return_above: float = 2.0
-    """Returns a lent sampler if lookups in progress per home sampler exceed this."""
+    """Returns a lent sampler if the average number of lookups on those not lent exceeds this."""
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -83,7 +83,7 @@
     time_zone: str = "UTC"
     """Time zone of `time` in the rules."""
     rank: int = 0
-    """If several policies set the same rule, the highest rank takes precedence, then the name."""
+    """If several policies set `priority`, the highest rank wins, then the first name."""
 
 
 Spec = Pool | Service | Round | Policy
