--- a/stileloom/http/operations.py
+++ b/stileloom/http/operations.py
@@ -37,7 +37,9 @@
     ready: bool
     draining: bool
     revision: int
+    """Configuration revision held by the responding node."""
     in_force: int
+    """Highest revision known to be in force in every zone."""
     lease_valid: bool
     nodes: list[NodeStatus]
     leader: LeaderStatus | None
