--- a/stileloom/http1/caller.py
+++ b/stileloom/http1/caller.py
@@ -14,7 +14,7 @@
 
 
 class NotSent(Exception):
-    """`may_send` returned False once a connection was available."""
+    """The request was not sent because `may_send` returned False."""
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
 
 async def send_request(
     pool: ConnectionPool,
-    peer_id: str,
+    sampler_id: str,
     address: tuple[str, int],
     method: str,
     target: str,
@@ -35,20 +35,21 @@
     timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> HttpResponse | None:
-    """Sends one request. Returns None if no complete response arrives in time.
+    """Sends a request; returns None if connecting fails or no complete response arrives in time.
 
     On a timeout the connection is closed instead of being returned to the pool. `may_send` is
-    checked once a connection is available; raises `NotSent` if it returns False.
+    called after connecting, right before the request is sent; if it returns False, `NotSent` is
+    raised.
     """
     all_headers = [("Host", f"{address[0]}:{address[1]}"), *headers]
     if body:
         all_headers.append(("Content-Type", "application/json"))
     try:
-        connection = await pool.acquire(peer_id, address)
+        connection = await pool.acquire(sampler_id, address)
     except (OSError, TimeoutError):
         return None
     if not may_send():
-        pool.release(peer_id, connection)
+        pool.release(sampler_id, connection)
         raise NotSent
     response = BufferedResponse()
     connection.exchange(encode_request(method, target, all_headers, body), response)
@@ -61,7 +62,7 @@
     except asyncio.CancelledError:
         connection.close()
         raise
-    pool.release(peer_id, connection)
+    pool.release(sampler_id, connection)
     if not response.complete or response.head is None:
         return None
     return HttpResponse(response.head, response.body)
