--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway process: serves callers from samplers and ledger nodes."""
+"""The gateway process: forwards the requests of callers to samplers and ledger nodes."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 """Part of the grace period that is reserved for closing connections."""
 DRAIN_NOTICE_S = 2.5
 """How long a draining gateway accepts requests, so that load balancers can redirect callers."""
-LOOKUP_INTERVAL_S = 1.0
+LEDGER_NODES_REFRESH_INTERVAL_S = 1.0
 QUARANTINE_LIST_TIMEOUT_S = 1.0
-"""How long readiness waits for the list of quarantined requests. Lookups must be served even
-without a leader, so the gateway then becomes ready without the list."""
+"""How long readiness waits for the list of quarantined requests. Afterwards the gateway becomes
+ready without it, because lookups must be served even when there is no ledger leader."""
 MAX_HEADER_BYTES = 65_536
 IDLE_TIMEOUT_MARGIN_S = 2.0
 
@@ -54,13 +54,13 @@
         self._dialect = dialect
         self._rng = random.Random()
         self._log = EventLog(settings.node_id)
-        self._registry = CollectorRegistry()
+        self._metrics_registry = CollectorRegistry()
         self.started = asyncio.Event()
         self._stopping = asyncio.Event()
-        metrics = ProxyMetrics(self._registry)
-        process_metrics = ProcessMetrics(self._registry, self._log)
+        metrics = ProxyMetrics(self._metrics_registry)
+        process_metrics = ProcessMetrics(self._metrics_registry, self._log)
         seeds = settings.peer_call_addresses
-        self._cached = CachedObjectStore(
+        self._cached_store = CachedObjectStore(
             store,
             seeds,
             dialect.kinds.ledger_nodes,
@@ -70,16 +70,16 @@
             process_metrics,
         )
         switches = settings.switches
-        reader = self._cached if switches.store_cache else store
+        reader = self._cached_store if switches.store_cache else store
         self.directory = Directory(
             reader, dialect, settings.bounds, self._log, self._rng, process_metrics
         )
-        self._nodes = LedgerNodes(seeds)
-        self._jobs = JobClient(self._nodes, self._log, self._look_up_ledger_nodes)
+        self._ledger_nodes = LedgerNodes(seeds)
+        self._job_client = JobClient(self._ledger_nodes, self._log, self._refresh_ledger_nodes)
         self._guard = QuarantineGuard(
-            RemoteQuarantineLedger(self._jobs),
+            RemoteQuarantineLedger(self._job_client),
             self._log,
-            QuarantineMetrics(self._registry),
+            QuarantineMetrics(self._metrics_registry),
             metrics.connection_opened,
         )
         access = SamplerAccess(
@@ -99,13 +99,13 @@
             self.directory.routes,
             self._forwarder,
             self._relay,
-            self._jobs,
+            self._job_client,
             self._log,
             metrics,
             switches.kept_results,
         )
         metrics.observe_open(lambda: self.front.open_requests)
-        self._last_lookup_at = float("-inf")
+        self._last_refresh_at = float("-inf")
         self._created_at = steady_time()
         self._tasks = BackgroundTasks(self._log)
 
@@ -116,7 +116,7 @@
         self.started.set()
         self.directory.start()
         self._guard.start()
-        self._look_up_ledger_nodes()
+        self._refresh_ledger_nodes()
         self._log.emit(LogEvent.NODE_STARTED, {"role": "gateway", "zone": self._settings.zone})
         await self._stopping.wait()
         await self._drain()
@@ -143,16 +143,16 @@
         servers = [front, ready]
         if self._settings.metrics_port:
             metrics = start_metrics_server(
-                self._registry, self._settings.host, self._settings.metrics_port, self._log
+                self._metrics_registry, self._settings.host, self._settings.metrics_port, self._log
             )
             servers += [metrics] if metrics is not None else []
         return servers
 
     def _is_ready(self) -> bool:
-        return not self.front.draining and self.directory.complete and self._quarantine_known()
+        return not self.front.draining and self.directory.complete and self._quarantine_list_ready()
 
-    def _quarantine_known(self) -> bool:
-        """Whether the list of quarantined requests is known or waiting for it has timed out."""
+    def _quarantine_list_ready(self) -> bool:
+        """Whether the list of quarantined requests has been read or its timeout has passed."""
         timed_out = steady_time() > self._created_at + QUARANTINE_LIST_TIMEOUT_S
         return timed_out or self._guard.view.revision >= 0
 
@@ -161,24 +161,25 @@
         self._stopping.set()
 
     def abort(self) -> None:
-        """Stops watches and reports, and closes the connections to ledger nodes."""
+        """Stops background work and closes the connections to ledger nodes."""
         self.directory.stop()
         self._guard.stop()
-        self._jobs.close()
-        self._cached.close()
+        self._job_client.close()
+        self._cached_store.close()
 
     def reload(self) -> None:
         """Logs the request; all settings of this process are fixed at startup."""
         self._log.emit(LogEvent.SETTINGS_RELOADED, {})
 
     async def _drain(self) -> None:
-        """Reports not ready, serves until callers are redirected, then completes open requests."""
+        """Reports not ready, serves during the drain notice, then completes open requests."""
         self.front.draining = True
         drain_started_at = steady_time()
         self._log.emit(LogEvent.DRAIN_STARTED, {"open": self.front.open_requests})
         deadline = drain_started_at + self._settings.bounds.stop_grace_s - DRAIN_MARGIN_S
         await asyncio.sleep(DRAIN_NOTICE_S)
-        # No request is forwarded from here on, so one that races with the close has not run.
+        # New requests are rejected from here on: one that arrives while its connection is closed
+        # has not run.
         self.front.closing = True
         while self.front.open_requests and steady_time() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -190,20 +191,20 @@
 
     # Ledger nodes.
 
-    def _look_up_ledger_nodes(self) -> None:
-        """Reads the addresses of ledger nodes from the object store, with a rate limit."""
+    def _refresh_ledger_nodes(self) -> None:
+        """Reads the addresses of ledger nodes, at most once per refresh interval."""
         now = steady_time()
-        if now < self._last_lookup_at + LOOKUP_INTERVAL_S:
+        if now < self._last_refresh_at + LEDGER_NODES_REFRESH_INTERVAL_S:
             return
-        self._last_lookup_at = now
+        self._last_refresh_at = now
         self._tasks.spawn(self._read_ledger_nodes())
 
     async def _read_ledger_nodes(self) -> None:
         try:
-            page = await self._cached.list_objects(self._dialect.kinds.ledger_nodes)
+            page = await self._cached_store.list_objects(self._dialect.kinds.ledger_nodes)
         except StileloomError:
             return
-        self._nodes.update_addresses(list(ledger_node_addresses(page.records).values()))
+        self._ledger_nodes.update_addresses(list(ledger_node_addresses(page.records).values()))
 
 
 async def serve_gateway(settings: ServiceSettings, store: ObjectStore, dialect: Dialect) -> None:
--- a/stileloom/daemon/leadership.py
+++ b/stileloom/daemon/leadership.py
@@ -1,4 +1,4 @@
-"""Work of the ledger leader: job items, weight versions, expiry and node removals."""
+"""The work of the ledger leader: job items, weight versions, expiry and removal of nodes."""
 
 from __future__ import annotations
 
@@ -72,8 +72,8 @@
         self._driver = driver
         self._quarantine_service = quarantine
         self._log = log
-        self._removals: dict[str, bool] = {}
-        """Whether the removal of a node has been reported as finished, by node id."""
+        self._removal_finished: dict[str, bool] = {}
+        """Whether the removal has been reported as finished, by node id."""
         for tracked in directory.samplers.all():
             self.runner.on_sampler_listed(tracked.entry.sampler_id, tracked.entry.model_versions)
         kinds = dialect.kinds
@@ -150,39 +150,41 @@
 
     def _handle_removal(self, record: ObjectRecord) -> None:
         finished = record.status == self._dialect.removal_status(finished=True)
-        if record.name not in self._removals:
+        if record.name not in self._removal_finished:
             self._log.emit(LogEvent.LEDGER_NODE_RETIRING, {"retiring": record.name})
-        self._removals[record.name] = finished or self._removals.get(record.name, False)
+        self._removal_finished[record.name] = finished or self._removal_finished.get(
+            record.name, False
+        )
 
     async def _run_removals(self) -> None:
-        """Removes nodes from the voter set, then reports the removal as finished."""
+        """Retires nodes from the voter set, then reports their removal as finished."""
         while True:
             await asyncio.sleep(REMOVALS_INTERVAL_S)
-            for node_id, finished in list(self._removals.items()):
+            for node_id, finished in list(self._removal_finished.items()):
                 if finished:
                     continue
                 try:
-                    await self._remove(node_id)
+                    await self._retire(node_id)
                 except StileloomError:
                     # The object store or the majority is unavailable: retry at the next interval.
                     continue
 
-    async def _remove(self, node_id: str) -> None:
+    async def _retire(self, node_id: str) -> None:
         kind = self._dialect.kinds.removals
         if node_id not in self._driver.state.retired_nodes:
             await self._driver.propose(RetireNode(node_id))
             running = self._dialect.removal_status(finished=False)
             await self._store.write_status(kind, node_id, running)
         if self._has_left_voter_set(node_id):
-            # This second entry makes the commit of the voter change durable on the remaining
-            # voters, which may have to continue without the removed node.
+            # With this second entry the remaining voters store that the voter change is committed;
+            # they may have to continue without the retired node.
             await self._driver.propose(RetireNode(node_id))
             finished = self._dialect.removal_status(finished=True)
             await self._store.write_status(kind, node_id, finished)
-            self._removals[node_id] = True
+            self._removal_finished[node_id] = True
 
     def _has_left_voter_set(self, node_id: str) -> bool:
         """Whether a committed change has removed the node from the voter set."""
-        in_state = {voter.node_id for voter in self._driver.state.voters}
+        in_applied_state = {voter.node_id for voter in self._driver.state.voters}
         in_log = {voter.node_id for voter in self._driver.replica.voters}
-        return node_id not in in_state | in_log and self._driver.is_active_leader()
+        return node_id not in in_applied_state | in_log and self._driver.is_active_leader()
--- a/stileloom/daemon/ledger_driver.py
+++ b/stileloom/daemon/ledger_driver.py
@@ -49,7 +49,7 @@
         self._metrics = metrics
         self._addresses = PeerAddresses((local_sender.host, local_sender.port), seeds)
         self._network = Network(
-            LedgerCodec(local_sender, self._addresses, compress), self._received
+            LedgerCodec(local_sender, self._addresses, compress), self._handle_message
         )
         self._disk = ThreadPoolExecutor(max_workers=1, thread_name_prefix="ledger")
         self._writes: list[Persist] = []
@@ -78,7 +78,7 @@
         """The replicated state as far as this replica has applied it."""
         return self.replica.state
 
-    def hand_over(self) -> None:
+    def transfer_leadership(self) -> None:
         """Transfers leadership to another replica if this one leads."""
         self._run(self.replica.transfer_leadership(steady_time()))
 
@@ -99,7 +99,7 @@
         """Records a node address that is registered in the object store."""
         self._addresses.add_registered(node_id, address)
 
-    def needs_peer_lookup(self) -> bool:
+    def needs_peer_discovery(self) -> bool:
         """Whether a voter's address or the leader is unknown."""
         others = [
             voter.node_id for voter in self.replica.voters if voter != self.replica.local_voter
@@ -122,18 +122,18 @@
     def _tick(self) -> None:
         now = steady_time()
         self._run(self.replica.tick(now))
-        needs_leader = not self.replica.is_voter and not self.replica.has_leader_contact(now)
-        if needs_leader and now >= self._next_hello_at:
+        lacks_leader = not self.replica.is_voter and not self.replica.has_leader_contact(now)
+        if lacks_leader and now >= self._next_hello_at:
             self._next_hello_at = now + HELLO_INTERVAL_S
             self._send_hello()
 
     def _send_hello(self) -> None:
-        """Announces a learner without a known leader to all known addresses."""
+        """Announces this learner, which has no contact with a leader, to all known addresses."""
         hello = LearnerHello(self.replica.local_voter)
         for address in self._addresses.all_addresses():
             self._network.send(address, hello)
 
-    def _received(self, sender: str, message: object) -> None:
+    def _handle_message(self, sender: str, message: object) -> None:
         self._run(self.replica.handle(steady_time(), sender, message))
 
     def _run(self, effects: list[Effect]) -> None:
@@ -166,7 +166,7 @@
             )
 
     def _start_write(self) -> None:
-        """Writes the effects that were queued during the previous sync as one batch."""
+        """Writes all queued effects as one batch, unless a write is in progress."""
         if self._writing or not self._writes:
             return
         self._writing = True
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -18,7 +18,7 @@
 from stileloom.daemon.directory import Directory
 from stileloom.daemon.leadership import Leadership
 from stileloom.daemon.ledger_driver import LedgerDriver
-from stileloom.daemon.ledger_start import PeerRegistry, open_ledger_with_retry
+from stileloom.daemon.ledger_start import PeerDiscovery, open_ledger_with_retry
 from stileloom.daemon.metrics_server import start_metrics_server
 from stileloom.daemon.process_metrics import ProcessMetrics
 from stileloom.daemon.signals import handle_signals
@@ -59,10 +59,10 @@
         self._dialect = dialect
         self._rng = random.Random()
         self._log = EventLog(settings.node_id)
-        self._registry = CollectorRegistry()
-        self._metrics = JobMetrics(self._registry)
-        process_metrics = ProcessMetrics(self._registry, self._log)
-        self._cached = CachedObjectStore(
+        self._metrics_registry = CollectorRegistry()
+        self._metrics = JobMetrics(self._metrics_registry)
+        process_metrics = ProcessMetrics(self._metrics_registry, self._log)
+        self._cached_store = CachedObjectStore(
             store,
             settings.peer_call_addresses,
             dialect.kinds.ledger_nodes,
@@ -71,18 +71,18 @@
             self._rng,
             process_metrics,
         )
-        self._cache = StoreCache(store, settings.bounds, self._log, self._rng)
+        self._store_cache = StoreCache(store, settings.bounds, self._log, self._rng)
         switches = settings.switches
-        reader = self._cached if switches.store_cache else store
+        reader = self._cached_store if switches.store_cache else store
         self._directory = Directory(
             reader, dialect, settings.bounds, self._log, self._rng, process_metrics
         )
-        attempt_metrics = AttemptMetrics(self._registry)
+        attempt_metrics = AttemptMetrics(self._metrics_registry)
         self._quarantine_service = QuarantineService(self, self._log)
         self._guard = QuarantineGuard(
             self._quarantine_service,
             self._log,
-            QuarantineMetrics(self._registry),
+            QuarantineMetrics(self._metrics_registry),
             attempt_metrics.connection_opened,
         )
         access = SamplerAccess(
@@ -104,7 +104,7 @@
         self._driver: LedgerDriver | None = None
         self._service: JobService | None = None
         self._leadership: Leadership | None = None
-        self._calls: CallServer | None = None
+        self._call_server: CallServer | None = None
         self._metrics_server: HTTPServer | None = None
         self._tasks = BackgroundTasks(self._log)
 
@@ -116,7 +116,7 @@
         self._ticker.stop()
         self._stop_leading("stopped")
         if self._driver is not None:
-            self._driver.hand_over()
+            self._driver.transfer_leadership()
             await asyncio.sleep(LEADERSHIP_TRANSFER_S)
         self.abort()
         self._log.emit(LogEvent.NODE_STOPPED, {})
@@ -149,16 +149,16 @@
         self._service = JobService(
             _CallAddressLedger(driver, settings.calls_port), self._quarantine_service, self._log
         )
-        self._calls = CallServer(self._handle_call, compress)
-        await self._calls.start(settings.listen_host, settings.calls_port)
+        self._call_server = CallServer(self._handle_call, compress)
+        await self._call_server.start(settings.listen_host, settings.calls_port)
         await driver.start(settings.listen_host)
         if settings.metrics_port:
             self._metrics_server = start_metrics_server(
-                self._registry, settings.listen_host, settings.metrics_port, self._log
+                self._metrics_registry, settings.listen_host, settings.metrics_port, self._log
             )
         self._directory.start()
-        registry = PeerRegistry(settings, self._store, kinds.ledger_nodes, driver, self._log)
-        self._tasks.spawn(registry.run())
+        discovery = PeerDiscovery(settings, self._store, kinds.ledger_nodes, driver, self._log)
+        self._tasks.spawn(discovery.run())
         self._ticker.start()
         self._log.emit(
             LogEvent.NODE_STARTED,
@@ -167,7 +167,7 @@
 
     async def _handle_call(self, request: Request) -> Reply:
         if isinstance(request, ReadObjectsCall):
-            return await self._cache.read(request)
+            return await self._store_cache.read(request)
         assert self._service is not None
         return await self._service.handle(request)
 
@@ -180,7 +180,7 @@
         self._log.emit(LogEvent.SETTINGS_RELOADED, {})
 
     def leads(self) -> bool:
-        """Whether this node leads and holds its lease."""
+        """Whether this node executes the work of the leader, as updated by the last step."""
         return self._leadership is not None
 
     def is_voter(self) -> bool:
@@ -198,28 +198,28 @@
         self._ticker.stop()
         self._tasks.cancel()
         self._stop_leading("stopped")
-        if self._calls is not None:
-            self._calls.stop()
+        if self._call_server is not None:
+            self._call_server.stop()
         if self._metrics_server is not None:
             self._metrics_server.stop()
         if self._driver is not None:
             self._driver.stop()
         self._directory.stop()
         self._guard.stop()
-        self._cache.stop()
-        self._cached.close()
+        self._store_cache.stop()
+        self._cached_store.close()
 
     # Leadership.
 
     def _step(self) -> None:
         assert self._driver is not None
-        self._cache.evict_idle()
+        self._store_cache.evict_idle()
         self._order_windows.observe(self._driver.state.order_windows, steady_time())
         leads = self._driver.is_active_leader()
         if self._leadership is not None:
-            current = self._leadership.epoch == self._driver.replica.epoch
-            if not leads or not current:
-                self._stop_leading("lease over")
+            same_epoch = self._leadership.epoch == self._driver.replica.epoch
+            if not leads or not same_epoch:
+                self._stop_leading("lease expired or epoch changed")
         if leads and self._leadership is None:
             self._start_leading(self._driver)
         voters = self._driver.replica.voters
@@ -233,17 +233,17 @@
             self._leadership.runner.step()
 
     def _update_guard(self) -> None:
-        """Updates the local guard from the replica's quarantine list."""
-        registry = self.quarantine()
-        if registry.revision != self._guard.view.revision:
-            self._guard.apply_listing(registry.listing(time.time()))
+        """Applies the replica's quarantine list to the local guard if it has changed."""
+        quarantine = self.quarantine()
+        if quarantine.revision != self._guard.view.revision:
+            self._guard.apply_listing(quarantine.listing(time.time()))
 
     def is_active_leader(self) -> bool:
         """Whether this node's replica leads and holds its lease now."""
         return self._driver is not None and self._driver.is_active_leader()
 
     def quarantine(self) -> QuarantineRegistry:
-        """Returns the requests associated with sampler crashes, as applied by this replica."""
+        """Returns the quarantine registry in the state that this replica has applied."""
         return self._driver.state.quarantine if self._driver is not None else QuarantineRegistry()
 
     async def propose(self, command: Command) -> CommandResult:
@@ -297,7 +297,7 @@
 
 
 class _CallAddressLedger:
-    """The ledger interface of the job service, with call addresses in place of ledger addresses."""
+    """The ledger as the job service uses it: the leader's address is that for calls."""
 
     def __init__(self, driver: LedgerDriver, calls_port: int) -> None:
         self._driver = driver
--- a/stileloom/daemon/ledger_start.py
+++ b/stileloom/daemon/ledger_start.py
@@ -104,7 +104,7 @@
         await asyncio.sleep(BOOTSTRAP_RETRY_S)
 
 
-class PeerRegistry:
+class PeerDiscovery:
     """Registers this node in the object store and reads the addresses of other nodes."""
 
     def __init__(
@@ -122,13 +122,13 @@
         self._log = log
 
     async def run(self) -> None:
-        """Registers this node, and reads the other registrations while a peer is unknown."""
+        """Registers this node and reads the other registrations, again while a peer is unknown."""
         registered = False
         failing = False
         while True:
             try:
-                if not registered or self._driver.needs_peer_lookup():
-                    await self._register()
+                if not registered or self._driver.needs_peer_discovery():
+                    await self._exchange_addresses()
                     registered = True
                     failing = False
             except StileloomError as error:
@@ -138,7 +138,7 @@
                 failing = True
             await asyncio.sleep(REGISTER_INTERVAL_S)
 
-    async def _register(self) -> None:
+    async def _exchange_addresses(self) -> None:
         registration = LedgerRegistration(
             ledger=self._settings.ledger,
             calls=f"{self._settings.host}:{self._settings.calls_port}",
