--- a/stileloom/daemon/cached_store.py
+++ b/stileloom/daemon/cached_store.py
@@ -1,9 +1,9 @@
 """Reads the object store through the cache of a ledger node, with a fallback to direct reads.
 
 All nodes order the caches by the same hash of the ledger nodes' names, so that few nodes watch
-the object store directly. When a cache times out or is behind, the read goes to the object
-store and another cache is preferred during a backoff. Reads are monotonic: a cached list older
-than a revision this node has already read is replaced by one from the object store.
+the object store directly. When a cache times out or is behind, the read goes to the object store,
+and the cache is not selected during a backoff. Lists are monotonic: if a cached list is older than
+a revision that this node has already read, the object store is listed instead.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
         self._nodes = [_CacheNode(f"{host}:{port}", (host, port)) for host, port in seeds]
 
     def update_nodes(self, addresses: dict[str, Address]) -> None:
-        """Replaces the nodes by the addresses registered in the object store, by name."""
+        """Replaces the nodes; those whose name and address are unchanged keep their backoff."""
         known = {(node.name, node.address): node for node in self._nodes}
         nodes = [
             known.get((name, address), _CacheNode(name, address))
@@ -126,23 +126,26 @@
 
         The first list uses a short timeout, because a node without one cannot serve requests.
         """
-        seen = self._latest_revisions.get(kind, 0)
-        limit_s = INITIAL_READ_TIMEOUT_S if seen == 0 else self._bound_s
-        reply = await self._ask_cache(ReadObjectsCall(kind, None, 0.0), limit_s)
-        if isinstance(reply, ObjectsListed) and reply.page.store_revision >= seen:
+        latest_revision = self._latest_revisions.get(kind, 0)
+        total_timeout_s = INITIAL_READ_TIMEOUT_S if latest_revision == 0 else self._bound_s
+        reply = await self._read_cache(ReadObjectsCall(kind, None, 0.0), total_timeout_s)
+        if isinstance(reply, ObjectsListed) and reply.page.store_revision >= latest_revision:
             page = reply.page
         else:
             page = await self._store.list_objects(kind)
             self._reads.labels("store").inc()
-        self._latest_revisions[kind] = max(seen, page.store_revision)
+        self._latest_revisions[kind] = max(latest_revision, page.store_revision)
         return page
 
     async def watch_objects(self, kind: str, after_revision: int, wait_s: float) -> WatchBatch:
-        """Returns the changes after a revision; limits the wait to detect lost connections."""
+        """Returns the changes after a revision.
+
+        The wait is limited, because a lost connection is detected only when it ends.
+        """
         await self._refresh_nodes()
         bounded_wait_s = min(wait_s, self._bound_s * WATCH_TIMEOUT_FRACTION)
         call = ReadObjectsCall(kind, after_revision, bounded_wait_s)
-        reply = await self._ask_cache(call, self._bound_s)
+        reply = await self._read_cache(call, self._bound_s)
         if isinstance(reply, ChangesForgotten):
             raise StileloomError(
                 ErrorKind.HISTORY_LOST, "the cache no longer holds the changes after this revision"
@@ -155,14 +158,14 @@
         self._latest_revisions[kind] = max(after_revision, batch.store_revision)
         return batch
 
-    async def _ask_cache(self, call: ReadObjectsCall, limit_s: float) -> CacheReply | None:
+    async def _read_cache(self, call: ReadObjectsCall, total_timeout_s: float) -> CacheReply | None:
         """Returns a cache's reply, or None if the object store has to be read directly."""
         node = self.nodes.select(steady_time())
         if node is None:
             return None
         timeout_s = call.wait_s + self._bound_s * RESPONSE_TIMEOUT_FRACTION
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(total_timeout_s):
                 reply = await self._connections.call(node.address, call, timeout_s)
         except (CallFailed, TimeoutError) as failure:
             self._record_failure(node, str(failure) or "timed out")
--- a/stileloom/daemon/directory.py
+++ b/stileloom/daemon/directory.py
@@ -20,7 +20,7 @@
 from stileloom.service_settings import TimeBounds
 
 BATCHING_DELAY_FRACTION = 0.1
-"""Delay after a change, as a fraction of its time bound, so that one call fetches several."""
+"""Delay after a change, as a fraction of the time bound; lets one call fetch several changes."""
 
 
 class Directory:
@@ -78,7 +78,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether routes and samplers are known."""
+        """Whether a configuration has been adopted and the samplers have been listed."""
         return self.routes.version > 0 and self.samplers.has_listing
 
     def start(self) -> None:
@@ -106,13 +106,13 @@
         except StileloomError as error:
             self._report_undecodable("configuration", record, error)
             return
-        before = self.routes.version
+        previous_version = self.routes.version
         adopted = self.routes.adopt(configuration)
         event = LogEvent.ROUTES_ADOPTED if adopted else LogEvent.ROUTES_REFUSED
-        if adopted or configuration.version < before:
+        if adopted or configuration.version < previous_version:
             fields: dict[str, object] = {
                 "version": configuration.version,
-                "before": before,
+                "before": previous_version,
                 "revision": record.revision,
             }
             self._log.emit(event, fields)
@@ -133,8 +133,8 @@
             return
         entry = self._decode(event.record)
         if entry is None:
-            # Another writer may have overwritten the entry: drop the tracked state, which is
-            # created again when a valid entry returns.
+            # Another writer may have overwritten the entry: remove the sampler until its entry is
+            # valid again.
             if self.samplers.get(event.record.name) is not None:
                 self.samplers.remove(event.record.name)
                 self._report_unlisted(event.record.name, "entry could not be decoded")
--- a/stileloom/daemon/object_watch.py
+++ b/stileloom/daemon/object_watch.py
@@ -13,7 +13,7 @@
 from stileloom.logging import EventLog
 
 WATCH_WAIT_S = 4.0
-"""A lost connection is detected only when the watch times out; must be below the time bounds."""
+"""Must be below the time bounds, because only the end of a watch reveals a lost connection."""
 RETRY_MIN_S = 0.15
 RETRY_MAX_S = 0.8
 MAX_DOUBLINGS = 8
--- a/stileloom/daemon/shell.py
+++ b/stileloom/daemon/shell.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.core = core
         self.waiters = Waiters()
-        self.network = Network(NodeCodec(core.node_id), self._received)
+        self.network = Network(NodeCodec(core.node_id), self._handle_message)
         self.object_api = object_api
         self.engines = EngineClient()
         self.on_drain_request: Callable[[], None] = lambda: None
@@ -93,7 +93,7 @@
     def _tick(self) -> None:
         self.run(self.core.tick(self.now(), time.time()))
 
-    def _received(self, sender: str, message: object) -> None:
+    def _handle_message(self, sender: str, message: object) -> None:
         self.run(self.core.receive(self.now(), sender, message))
 
     def _execute(self, effect: Effect) -> None:
@@ -133,7 +133,7 @@
     # Disk.
 
     def _start_write(self) -> None:
-        """Writes the effects that were queued during the previous sync as one batch."""
+        """Writes all queued effects as one batch, unless a write is in progress."""
         if self._writing or not self._writes or self._storage is None:
             return
         self._writing = True
@@ -144,7 +144,7 @@
         )
 
     def _write_finished(self, done: asyncio.Future[None], write_id: int) -> None:
-        # Raises if the write failed: no later write is acknowledged, because `_writing` stays set.
+        # Raises if the write failed. `_writing` then stays set, so no later write is started.
         done.result()
         self._writing = False
         if self._stopped:
@@ -245,7 +245,7 @@
         except TimeoutError:
             finished = None
         finally:
-            self.waiters.forget_command(ticket)
+            self.waiters.remove_command(ticket)
         if finished is None or finished.result is None:
             raise StileloomError(ErrorKind.LEDGER_UNAVAILABLE, "the ledger did not respond in time")
         return finished.result
--- a/stileloom/daemon/store_cache.py
+++ b/stileloom/daemon/store_cache.py
@@ -37,6 +37,7 @@
 MAX_STALENESS_FRACTION = 0.7
 """Age after which cached data is not served, as a fraction of the shortest time bound."""
 BATCHING_DELAY_FRACTION = 0.04
+"""Delay after a change, as a fraction of the shortest time bound."""
 MAX_CACHED_CHANGES = 512
 INITIAL_LIST_TIMEOUT_S = 0.4
 """How long the first reader of a kind waits for the list from the object store."""
@@ -45,7 +46,7 @@
 
 
 class _CachedKind:
-    """Objects of one kind and their most recent changes."""
+    """The objects of one kind and their most recent changes."""
 
     def __init__(
         self, kind: str, store: ObjectStore, bound_s: float, log: EventLog, rng: random.Random
@@ -63,14 +64,14 @@
         )
         self._records: dict[str, ObjectRecord] = {}
         self._changes: collections.deque[tuple[int, ObjectEvent]] = collections.deque()
-        self._complete_after_revision = 0
-        """Changes after this revision are complete."""
+        self._history_start_revision = 0
+        """`_changes` holds all changes after this revision."""
         self._waiters: set[asyncio.Future[None]] = set()
 
     def _on_list(self, records: list[ObjectRecord]) -> None:
         self._records = {record.name: record for record in records}
         self._changes.clear()
-        self._complete_after_revision = self.watcher.revision
+        self._history_start_revision = self.watcher.revision
         self._notify_waiters()
 
     def _on_event(self, event: ObjectEvent) -> None:
@@ -80,7 +81,7 @@
             self._records[event.record.name] = event.record
         self._changes.append((self.watcher.revision, event))
         if len(self._changes) > MAX_CACHED_CHANGES:
-            self._complete_after_revision, _ = self._changes.popleft()
+            self._history_start_revision, _ = self._changes.popleft()
         self._notify_waiters()
 
     def _notify_waiters(self) -> None:
@@ -103,7 +104,7 @@
 
     def changes_after(self, revision: int) -> WatchBatch | None:
         """Returns the changes after a revision, or None if some of them were evicted."""
-        if revision < self._complete_after_revision:
+        if revision < self._history_start_revision:
             return None
         events = [event for changed_at, event in self._changes if changed_at > revision]
         return WatchBatch(events, max(revision, self.watcher.revision))
--- a/stileloom/daemon/waiters.py
+++ b/stileloom/daemon/waiters.py
@@ -62,7 +62,7 @@
         self._commands[ticket] = future
         return future
 
-    def forget_command(self, ticket: int) -> None:
+    def remove_command(self, ticket: int) -> None:
         """Removes the waiter of a command."""
         self._commands.pop(ticket, None)
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -458,7 +458,7 @@
         "a list from a cache may be older than one read before",
         "a stated leave sticks",
         "stileloom/daemon/cached_store.py",
-        "if isinstance(reply, ObjectsListed) and reply.page.store_revision >= seen:",
+        "if isinstance(reply, ObjectsListed) and reply.page.store_revision >= latest_revision:",
         "if isinstance(reply, ObjectsListed):",
         "tests/test_store_cache.py",
     ),
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,7 +1,7 @@
 """Tests that a cancellation is not lost when the awaited result arrives in the same step.
 
-`asyncio.wait_for` of Python 3.11 drops such a cancellation, so that a loop that ends only by
-cancellation would run forever.
+`asyncio.wait_for` of Python 3.11 drops such a cancellation. A loop that only a cancellation ends
+would then run forever.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 async def ends_soon(task: asyncio.Task[Any]) -> bool:
-    """Whether a task ends within a bounded number of event loop steps."""
+    """Whether a task ends within MAX_STEPS steps of the event loop."""
     for _ in range(MAX_STEPS):
         if task.done():
             return True
@@ -46,8 +46,8 @@
 class CancelledCallTest(testtools.TestCase):
     """Calls cancelled in the event loop step in which their outcome arrives."""
 
-    def outcome_of(self, event: str) -> str:
-        """Returns how a call ends when it is cancelled right after `event` of its connection."""
+    def outcome_of(self, callback: str) -> str:
+        """Returns how a call ends when it is cancelled right after a callback of its connection."""
 
         async def run() -> str:
             server = CallServer(answer_call)
@@ -55,8 +55,8 @@
             await server.start(HOST, port)
             connection = await CallConnection.open((HOST, port))
             task = asyncio.get_running_loop().create_task(connection.call(CALL, TIMEOUT_S))
-            cancel_after(connection, event, task)
-            if event == "connection_lost":
+            cancel_after(connection, callback, task)
+            if callback == "connection_lost":
                 await asyncio.sleep(0)
                 connection.close()
             await asyncio.wait((task,))
@@ -144,12 +144,12 @@
         return WatchBatch([], 1)
 
 
-def cancel_after(connection: Any, event: str, task: asyncio.Task[Any]) -> None:
-    """Cancels a task in the event loop step in which a connection event is handled."""
-    handle: Callable[..., None] = getattr(connection, event)
+def cancel_after(connection: Any, callback: str, task: asyncio.Task[Any]) -> None:
+    """Cancels a task in the event loop step in which a callback of a connection runs."""
+    handle: Callable[..., None] = getattr(connection, callback)
 
     def handle_and_cancel(*arguments: object) -> None:
         handle(*arguments)
         task.cancel()
 
-    setattr(connection, event, handle_and_cancel)
+    setattr(connection, callback, handle_and_cancel)
