--- a/stileloom/daemon/native_object_store.py
+++ b/stileloom/daemon/native_object_store.py
@@ -1,7 +1,8 @@
 """Adapter from stileloom's own object API to the interface `ObjectStore`.
 
-The API lists and watches all kinds together. Changes of one kind are computed by comparison with
-the list at the revision where the watch starts. A status is stored as an object of its own kind.
+The API lists and watches all kinds together, so a watch of one kind compares the current list with
+the cached list at the revision where the watch starts. A status is stored as an object of its own
+kind.
 """
 
 from __future__ import annotations
@@ -77,9 +78,11 @@
         """Replaces the status regardless of the revision."""
         await self._write(kind + STATUS_SUFFIX, name, None, status)
 
-    async def _write(self, kind: str, name: str, expected: int | None, spec: Any) -> ObjectRecord:
+    async def _write(
+        self, kind: str, name: str, expected_revision: int | None, spec: Any
+    ) -> ObjectRecord:
         try:
-            revision = await self._api.write(kind, name, expected, uuid.uuid4().hex, spec)
+            revision = await self._api.write(kind, name, expected_revision, uuid.uuid4().hex, spec)
         except StileloomError as error:
             if error.kind is ErrorKind.UNKNOWN_OBJECT:
                 raise StileloomError(ErrorKind.CONFLICT, error.detail) from error
--- a/stileloom/daemon/platform_client.py
+++ b/stileloom/daemon/platform_client.py
@@ -49,7 +49,7 @@
         return configuration_of(listed) if listed is not None else None
 
     async def watch_all(self, after_revision: int, wait_s: float) -> ObjectList | None:
-        """Waits for a revision newer than `after_revision` and lists all objects; None on timeout.
+        """Waits for a newer revision and lists all objects; returns None on timeout.
 
         Raises `StileloomError` (PLATFORM_UNAVAILABLE).
         """
@@ -75,18 +75,22 @@
         return msgspec.json.decode(response.body, type=ObjectList)
 
     async def write(
-        self, kind: str, name: str, expected: int | None, change_id: str, spec: object | None
+        self,
+        kind: str,
+        name: str,
+        expected_revision: int | None,
+        change_id: str,
+        spec: object | None,
     ) -> int:
         """Writes one object by compare-and-swap and returns its revision; `spec` None deletes.
 
-        `expected` is the revision that the object must have, 0 if it must not exist, or None for
-        an unconditional write. If the response is lost, the outcome is determined by reading
-        back the change id. Raises `StileloomError`: CONFLICT, or PLATFORM_UNAVAILABLE with
-        outcome unknown.
+        `expected_revision` is 0 if the object must not exist, or None for an unconditional write.
+        If the response is lost, the outcome is determined by reading back the change id. Raises
+        `StileloomError`: CONFLICT, or PLATFORM_UNAVAILABLE with outcome unknown.
         """
         headers = {"X-Change-Id": change_id}
-        if expected is not None:
-            headers["If-Match"] = str(expected)
+        if expected_revision is not None:
+            headers["If-Match"] = str(expected_revision)
         method = "PUT" if spec is not None else "DELETE"
         body = msgspec.json.encode(spec) if spec is not None else None
         try:
@@ -170,7 +174,7 @@
         try:
             spec = parse_spec(kind, stored.spec)
         except StileloomError:
-            # Written without validation; one invalid object must not hide the others.
+            # Objects may be written without validation; an invalid one must not hide the others.
             continue
         configuration = configuration.with_object(kind, stored.name, spec)
     return configuration
--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -96,7 +96,7 @@
         for number in (1, 2):
             await self.add_sampler(f"chart-{number}", "charts")
             await self.add_sampler(f"draft-{number}", "drafts")
-        # Ledger nodes of one deployment share their port for calls and differ in the host.
+        # All ledger nodes of a deployment use the same ports, so each has its own host address.
         self._calls_port = free_port(*LEDGER_HOSTS)
         self._ledger_port = free_port(*LEDGER_HOSTS)
         for number, host in enumerate(LEDGER_HOSTS, start=1):
@@ -301,7 +301,7 @@
         return await self.call("POST", "/drafts/j", msgspec.json.encode(body), request_id=job_id)
 
     async def results(self, job_id: str, count: int, gateway: int = 0) -> list[list[Any]]:
-        """Reads results until there are at least `count`."""
+        """Reads the results of a job until there are at least `count` of them."""
         results: list[list[Any]] = []
         async with asyncio.timeout(TIMEOUT_S):
             while len(results) < count:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -21,7 +21,7 @@
 
 
 class DirectoryTest(testtools.TestCase):
-    """A sampler whose entry was overwritten by another writer."""
+    """Sampler entries that another writer has made invalid."""
 
     def make_directory(self) -> Directory:
         """Creates a directory whose records are supplied by the test."""
--- a/tests/test_object_watch.py
+++ b/tests/test_object_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the object watcher: calls after failures and lost history, and their order."""
+"""Tests of the object watcher: its calls after failures and after lost history."""
 
 from __future__ import annotations
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -108,21 +108,21 @@
 
         async def scenario(cluster: ServiceCluster) -> None:
             gateway = cluster.gateways[0]
-            seen_open: list[int] = []
+            statuses_before_close: list[int] = []
             close_all = HTTPServer.close_all_connections
 
-            async def observed(server: HTTPServer) -> None:
+            async def serve_then_close(server: HTTPServer) -> None:
                 answer = await gateway.front.serve(
                     CallerRequest("POST", "/charts/7", HTTPHeaders(), b"", 0.0)
                 )
                 assert answer is not None
-                seen_open.append(answer.status)
+                statuses_before_close.append(answer.status)
                 await close_all(server)
 
-            with mock.patch.object(HTTPServer, "close_all_connections", observed):
+            with mock.patch.object(HTTPServer, "close_all_connections", serve_then_close):
                 gateway.stop()
-                await cluster.wait_until(lambda: len(seen_open) > 0)
-            self.assertEqual({503}, set(seen_open))
+                await cluster.wait_until(lambda: len(statuses_before_close) > 0)
+            self.assertEqual({503}, set(statuses_before_close))
             runs = [run for sampler in cluster.samplers.values() for run in sampler.runs]
             self.assertEqual([], runs)
 
@@ -284,8 +284,8 @@
             items = [f"i{number}" for number in range(3)]
             await cluster.submit("job", items)
             self.check_texts(await cluster.results("job", 3))
-            failed = [run.request_id for run in cluster.samplers["draft-1"].runs]
-            self.assertEqual(len(set(failed)), len(failed))
+            run_ids = [run.request_id for run in cluster.samplers["draft-1"].runs]
+            self.assertEqual(len(set(run_ids)), len(run_ids))
 
         with_cluster(scenario)
 
@@ -308,19 +308,19 @@
             await cluster.submit("job", items)
             before = await cluster.results("job", 6)
             await cluster.submit("next", items)
-            first = cluster.leader()
-            assert first is not None
-            await cluster.kill(first)
-            cluster.wipe(first)
+            first_leader = cluster.leader()
+            assert first_leader is not None
+            await cluster.kill(first_leader)
+            cluster.wipe(first_leader)
             await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 6))
             self.check_texts(await cluster.results("next", 6, gateway=1))
-            cluster.restart(first)
-            node = cluster.ledger_nodes[first]
+            cluster.restart(first_leader)
+            node = cluster.ledger_nodes[first_leader]
             await cluster.wait_until(node.is_voter)
-            second = cluster.leader()
-            assert second is not None
-            await cluster.kill(second)
+            second_leader = cluster.leader()
+            assert second_leader is not None
+            await cluster.kill(second_leader)
             await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 6))
 
@@ -331,15 +331,17 @@
 
         async def scenario(cluster: ServiceCluster) -> None:
             real_write = LedgerStorage.write
-            refused: list[LedgerStorage] = []
+            rejected_by: list[LedgerStorage] = []
 
-            def refuse(storage: LedgerStorage, writes: list[Persist]) -> None:
-                refused.append(storage)
+            def fail_write(storage: LedgerStorage, writes: list[Persist]) -> None:
+                rejected_by.append(storage)
                 raise OSError(errno.ENOSPC, "no space")
 
-            with mock.patch.object(LedgerStorage, "write", refuse):
+            with mock.patch.object(LedgerStorage, "write", fail_write):
                 submitting = asyncio.ensure_future(cluster.submit("job", ["i1", "i2"]))
-                await cluster.wait_until(lambda: len(set(refused)) == 3 and len(refused) > 6)
+                await cluster.wait_until(
+                    lambda: len(set(rejected_by)) == 3 and len(rejected_by) > 6
+                )
                 self.assertFalse(submitting.done() and submitting.result().code == 202)
             self.assertIs(real_write, LedgerStorage.write)
             answer = await submitting
--- a/tests/test_store_cache.py
+++ b/tests/test_store_cache.py
@@ -133,13 +133,13 @@
             store.remove("a")
             await cache.read(ReadObjectsCall(KIND, first.page.store_revision, 5.0))
             second = await cache.read(ReadObjectsCall(KIND, None, 0.0))
-            older = await cache.read(ReadObjectsCall(KIND, 0, 0.0))
+            evicted = await cache.read(ReadObjectsCall(KIND, 0, 0.0))
             cache.stop()
-            return second, older
+            return second, evicted
 
-        second, older = asyncio.run(run())
+        second, evicted = asyncio.run(run())
         self.assertEqual(["b"], [record.name for record in second.page.records])
-        self.assertIsInstance(older, ChangesForgotten)
+        self.assertIsInstance(evicted, ChangesForgotten)
 
     def test_a_cache_without_contact_to_the_store_reports_behind(self) -> None:
         """While its watch hangs, the cache must not serve stale data as current."""
@@ -280,13 +280,13 @@
             first = nodes.select(0.0)
             assert first is not None
             nodes.record_failure(first, 0.0)
-            second = nodes.select(1.0)
-            again = nodes.select(BACKOFF_BASE_S + 0.1)
-            assert second is not None and again is not None
-            chosen.add((first.name, second.name, again.name))
-        ((first_name, second_name, again_name),) = chosen
-        self.assertNotEqual(first_name, second_name)
-        self.assertEqual(first_name, again_name)
+            next_choice = nodes.select(1.0)
+            after_backoff = nodes.select(BACKOFF_BASE_S + 0.1)
+            assert next_choice is not None and after_backoff is not None
+            chosen.add((first.name, next_choice.name, after_backoff.name))
+        ((first_name, next_name, after_backoff_name),) = chosen
+        self.assertNotEqual(first_name, next_name)
+        self.assertEqual(first_name, after_backoff_name)
 
     def test_repeated_failures_extend_the_backoff(self) -> None:
         nodes = CacheNodes([("10.0.0.1", 1)])
