--- a/stileloom/daemon/directory.py
+++ b/stileloom/daemon/directory.py
@@ -77,7 +77,7 @@
             metrics.observe_age(kind, partial(getattr, watcher, "synced_at"))
 
     @property
-    def complete(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether a configuration has been adopted and the samplers have been listed."""
         return self.routes.version > 0 and self.samplers.has_listing
 
--- a/stileloom/daemon/engine_client.py
+++ b/stileloom/daemon/engine_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the engines: streams, cancellation, load reports and fenced orders."""
+"""HTTP client of the engines: streams, cancellations, load reports and fenced orders."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
         body = await self._fetch_body(request)
         return msgspec.json.decode(body, type=CancelReply).state if body is not None else None
 
-    async def load(self, address: str) -> LoadReport | None:
+    async def read_load(self, address: str) -> LoadReport | None:
         """Reads the load report; returns None if the engine did not respond."""
         request = HTTPRequest(
             f"http://{address}/v1/load",
@@ -116,7 +116,7 @@
         body = await self._fetch_body(request)
         return msgspec.json.decode(body, type=LoadReport) if body is not None else None
 
-    async def order(self, address: str, order: EngineOrder) -> bool:
+    async def send_order(self, address: str, order: EngineOrder) -> bool:
         """Sends a fenced order; returns False if it was rejected or the engine did not respond.
 
         The next load report shows whether the order was executed.
--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -149,7 +149,11 @@
         return servers
 
     def _is_ready(self) -> bool:
-        return not self.front.draining and self.directory.complete and self._quarantine_list_ready()
+        return (
+            not self.front.draining
+            and self.directory.is_initialized
+            and self._quarantine_list_ready()
+        )
 
     def _quarantine_list_ready(self) -> bool:
         """Whether the list of quarantined requests has been read or its timeout has passed."""
--- a/stileloom/daemon/ledger_node.py
+++ b/stileloom/daemon/ledger_node.py
@@ -112,7 +112,7 @@
         """Serves until `stop` is called."""
         await self._start()
         await self._stopping.wait()
-        self._log.emit(LogEvent.DRAIN_STARTED, {"leading": self.leads()})
+        self._log.emit(LogEvent.DRAIN_STARTED, {"leading": self.is_leading()})
         self._ticker.stop()
         self._stop_leading("stopped")
         if self._driver is not None:
@@ -140,7 +140,7 @@
             replica, opened.storage, local_sender, seeds, self._log, self._metrics, compress
         )
         self._metrics.observe_replica(
-            self.leads,
+            self.is_leading,
             lambda: replica.epoch,
             lambda: replica.commit_index,
             lambda: replica.follower_lag,
@@ -179,7 +179,7 @@
         """Logs the request; all settings of this process are fixed at startup."""
         self._log.emit(LogEvent.SETTINGS_RELOADED, {})
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this node executes the work of the leader, as updated by the last step."""
         return self._leadership is not None
 
@@ -215,12 +215,12 @@
         assert self._driver is not None
         self._store_cache.evict_idle()
         self._order_windows.observe(self._driver.state.order_windows, steady_time())
-        leads = self._driver.is_active_leader()
+        is_active = self._driver.is_active_leader()
         if self._leadership is not None:
             same_epoch = self._leadership.epoch == self._driver.replica.epoch
-            if not leads or not same_epoch:
+            if not is_active or not same_epoch:
                 self._stop_leading("lease expired or epoch changed")
-        if leads and self._leadership is None:
+        if is_active and self._leadership is None:
             self._start_leading(self._driver)
         voters = self._driver.replica.voters
         if voters != self._reported_voters:
--- a/stileloom/daemon/shell.py
+++ b/stileloom/daemon/shell.py
@@ -197,12 +197,12 @@
 
     async def _query_load(self, effect: QueryLoad) -> None:
         address = self._address_of(effect.sampler_id)
-        load = await self.engines.load(address) if address is not None else None
+        load = await self.engines.read_load(address) if address is not None else None
         self.run(self.core.load_reported(self.now(), effect.sampler_id, load))
 
     async def _send_order(self, effect: SendOrder) -> None:
         address = self._address_of(effect.sampler_id)
-        if address is not None and not await self.engines.order(address, effect.order):
+        if address is not None and not await self.engines.send_order(address, effect.order):
             fields: dict[str, object] = {"sampler": effect.sampler_id}
             self._log.emit(LogEvent.ORDER_REFUSED, fields)
 
--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -67,7 +67,7 @@
     return {"version": version, "routes": [lookup | changes, batch], "services": services}
 
 
-def reward_of(item: str) -> list[str]:
+def reward_call(item: str) -> list[str]:
     """Returns the reward call of an item, over the lookup route."""
     return [f"score-{item}", HOSTNAME, f"/charts/score/{item}", "dGV4dA=="]
 
@@ -104,7 +104,7 @@
         for number in range(self._gateway_count):
             self.start_gateway(f"gateway-{number}")
         for gateway in self.gateways:
-            await self.wait_until(lambda: gateway.directory.complete)  # noqa: B023
+            await self.wait_until(lambda: gateway.directory.is_initialized)  # noqa: B023
             await self.wait_until(lambda: len(gateway.directory.samplers.of_service("charts")) == 2)  # noqa: B023
         await self.wait_until(lambda: self.leader() is not None)
         return self
@@ -212,7 +212,7 @@
         self._settings[name] = settings
         self._tasks[name] = asyncio.get_running_loop().create_task(node.run())
 
-    def wipe(self, name: str) -> None:
+    def delete_data(self, name: str) -> None:
         """Removes the data files of a stopped node."""
         folder = Path(self._folder.name) / name
         for file in folder.iterdir():
@@ -232,7 +232,7 @@
     def leader(self) -> str | None:
         """Returns the name of the leader, or None."""
         for name, node in self.ledger_nodes.items():
-            if node.leads():
+            if node.is_leading():
                 return name
         return None
 
@@ -296,7 +296,7 @@
         ]
         if rewards:
             for row in rows:
-                row.append(reward_of(row[0]))
+                row.append(reward_call(row[0]))
         body = {"model": MODEL, "items": rows, **fields}
         return await self.call("POST", "/drafts/j", msgspec.json.encode(body), request_id=job_id)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -311,7 +311,7 @@
             first_leader = cluster.leader()
             assert first_leader is not None
             await cluster.kill(first_leader)
-            cluster.wipe(first_leader)
+            cluster.delete_data(first_leader)
             await cluster.wait_until(lambda: cluster.leader() is not None)
             self.assertEqual(before, await cluster.results("job", 6))
             self.check_texts(await cluster.results("next", 6, gateway=1))
@@ -370,7 +370,7 @@
             self.assertEqual(before, await cluster.results("job", 1))
             # One of the two remaining nodes loses its disk; the other continues alone.
             await cluster.kill("ledger-2")
-            cluster.wipe("ledger-2")
+            cluster.delete_data("ledger-2")
             cluster.restart("ledger-2")
             await cluster.wait_until(lambda: cluster.ledger_nodes["ledger-2"].is_voter())
             self.assertEqual(before, await cluster.results("job", 1))
