--- a/stileloom/daemon/gateway.py
+++ b/stileloom/daemon/gateway.py
@@ -75,9 +75,9 @@
             reader, dialect, settings.bounds, self._log, self._rng, process_metrics
         )
         self._ledger_nodes = LedgerNodes(seeds)
-        self._job_client = JobClient(self._ledger_nodes, self._log, self._refresh_ledger_nodes)
+        self._jobs = JobClient(self._ledger_nodes, self._log, self._refresh_ledger_nodes)
         self._guard = QuarantineGuard(
-            RemoteQuarantineLedger(self._job_client),
+            RemoteQuarantineLedger(self._jobs),
             self._log,
             QuarantineMetrics(self._metrics_registry),
             metrics.connection_opened,
@@ -99,7 +99,7 @@
             self.directory.routes,
             self._forwarder,
             self._relay,
-            self._job_client,
+            self._jobs,
             self._log,
             metrics,
             switches.kept_results,
@@ -168,7 +168,7 @@
         """Stops background work and closes the connections to ledger nodes."""
         self.directory.stop()
         self._guard.stop()
-        self._job_client.close()
+        self._jobs.close()
         self._cached_store.close()
 
     def reload(self) -> None:
