--- a/tests/service_cluster.py
+++ b/tests/service_cluster.py
@@ -67,7 +67,7 @@
     return {"version": version, "routes": [lookup | changes, batch], "services": services}
 
 
-def reward_of(item: str) -> list[str]:
+def reward_call(item: str) -> list[str]:
     """Returns the reward call of an item, over the lookup route."""
     return [f"score-{item}", HOSTNAME, f"/charts/score/{item}", "dGV4dA=="]
 
@@ -96,7 +96,7 @@
         for number in (1, 2):
             await self.add_sampler(f"chart-{number}", "charts")
             await self.add_sampler(f"draft-{number}", "drafts")
-        # Ledger nodes of one deployment share their port for calls and differ in the host.
+        # All ledger nodes of a deployment use the same ports, so each has its own host address.
         self._calls_port = free_port(*LEDGER_HOSTS)
         self._ledger_port = free_port(*LEDGER_HOSTS)
         for number, host in enumerate(LEDGER_HOSTS, start=1):
@@ -104,7 +104,7 @@
         for number in range(self._gateway_count):
             self.start_gateway(f"gateway-{number}")
         for gateway in self.gateways:
-            await self.wait_until(lambda: gateway.directory.complete)  # noqa: B023
+            await self.wait_until(lambda: gateway.directory.is_initialized)  # noqa: B023
             await self.wait_until(lambda: len(gateway.directory.samplers.of_service("charts")) == 2)  # noqa: B023
         await self.wait_until(lambda: self.leader() is not None)
         return self
@@ -212,7 +212,7 @@
         self._settings[name] = settings
         self._tasks[name] = asyncio.get_running_loop().create_task(node.run())
 
-    def wipe(self, name: str) -> None:
+    def delete_data(self, name: str) -> None:
         """Removes the data files of a stopped node."""
         folder = Path(self._folder.name) / name
         for file in folder.iterdir():
@@ -232,7 +232,7 @@
     def leader(self) -> str | None:
         """Returns the name of the leader, or None."""
         for name, node in self.ledger_nodes.items():
-            if node.leads():
+            if node.is_leading():
                 return name
         return None
 
@@ -296,12 +296,12 @@
         ]
         if rewards:
             for row in rows:
-                row.append(reward_of(row[0]))
+                row.append(reward_call(row[0]))
         body = {"model": MODEL, "items": rows, **fields}
         return await self.call("POST", "/drafts/j", msgspec.json.encode(body), request_id=job_id)
 
     async def results(self, job_id: str, count: int, gateway: int = 0) -> list[list[Any]]:
-        """Reads results until there are at least `count`."""
+        """Reads the results of a job until there are at least `count` of them."""
         results: list[list[Any]] = []
         async with asyncio.timeout(TIMEOUT_S):
             while len(results) < count:
